--- a/bench/decision.cpp
+++ b/bench/decision.cpp
@@ -1,5 +1,5 @@
-// What a decision costs: one whole transaction (landing, dispatch, reply) at nodes that answer quickly, beside
-// others that are held at one node that does not.
+// What a decision costs: one whole transaction (landing, dispatch, reply) at nodes that answer quickly,
+// beside others that are held at one node that does not.
 #include <benchmark/benchmark.h>
 
 #include <deque>
@@ -120,7 +120,8 @@
   state.counters["held"] = held;
 }
 
-// So many on one key, in order, and their client leaves: all end at once, each to be found in its lane. `keys` of them.
+// So many on one key, in order, and their client leaves: all end at once, each to be found in its lane.
+// `keys` of them.
 void one_key_ends(benchmark::State& state) {
   const int held = static_cast<int>(state.range(0));
   const auto keys = static_cast<std::uint64_t>(state.range(1));
@@ -130,7 +131,8 @@
     state.PauseTiming();
     Nobody host;
     Control control(s, host, 1000);
-    for (int id = 0; id < held; ++id) control.landed(1000, id, to(0, 0, static_cast<std::uint64_t>(id) % keys));
+    for (int id = 0; id < held; ++id)
+      control.landed(1000, id, to(0, 0, static_cast<std::uint64_t>(id) % keys));
     state.ResumeTiming();
     for (int id = 0; id < held; ++id) control.abandoned(1000, id);
   }
@@ -149,7 +151,8 @@
     Nobody host;
     Control control(s, host, 1000);
     control.list_news(1000, Scope::kWhole, {{0, 0, 0, Listing::kReady, 0}});
-    for (int id = 0; id < held; ++id) control.landed(1000 + id * 1e-9, id, to(0, 0, static_cast<std::uint64_t>(id)));
+    for (int id = 0; id < held; ++id)
+      control.landed(1000 + id * 1e-9, id, to(0, 0, static_cast<std::uint64_t>(id)));
   }
   state.counters["a landing"] = benchmark::Counter(
       static_cast<double>(held), benchmark::Counter::kIsIterationInvariantRate | benchmark::Counter::kInvert);
@@ -160,8 +163,6 @@
 BENCHMARK(one_key_ends)->ArgsProduct({{1000, 10000}, {1, 10000}})->Unit(benchmark::kMillisecond);
 BENCHMARK(backlog)->Arg(1000)->Arg(10000)->Unit(benchmark::kMillisecond);
 BENCHMARK(at_the_queue)->Arg(100)->Arg(1000)->Arg(10000)->Unit(benchmark::kMicrosecond);
-BENCHMARK(transaction)
-    ->ArgsProduct({{10, 100, 1000}, {0, 100, 1000, 10000}})
-    ->Unit(benchmark::kMicrosecond);
+BENCHMARK(transaction)->ArgsProduct({{10, 100, 1000}, {0, 100, 1000, 10000}})->Unit(benchmark::kMicrosecond);
 
 BENCHMARK_MAIN();
--- a/bench/ledger.cpp
+++ b/bench/ledger.cpp
@@ -1,5 +1,5 @@
-// Ledgers of a million entries and more: bytes an entry, entries a second, recovery with and without a snapshot,
-// reconciliation against the number of entries. Arguments: entries of the largest (1,000,000).
+// Ledgers of a million entries and more: bytes an entry, entries a second, recovery with and without a
+// snapshot, reconciliation against the number of entries. Arguments: entries of the largest (1,000,000).
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -15,10 +15,13 @@
 
 namespace {
 
-double now() { return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count(); }
+double now() {
+  return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
+}
 
 // Entries from `from` on, in groups as a busy scheduler's.
-double fill(store::Files& files, const std::string& folder, std::uint64_t entries, std::uint64_t from, bool snapshot) {
+double fill(store::Files& files, const std::string& folder, std::uint64_t entries, std::uint64_t from,
+            bool snapshot) {
   store::LogState state;
   store::Fault fault;
   store::LogOptions options;
@@ -61,7 +64,9 @@
   std::string wrong;
   store::LogOptions options;
   options.keep_all = true;
-  if (!store::Log::open(files, folder + "/entries", options, into(book, wrong), state, fault) || !wrong.empty()) std::exit(1);
+  if (!store::Log::open(files, folder + "/entries", options, into(book, wrong), state, fault) ||
+      !wrong.empty())
+    std::exit(1);
   return now() - start;
 }
 
@@ -77,17 +82,20 @@
   const std::uint64_t most = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1000000;
   const std::string root = "/var/tmp/heronworks-ledger-bench-" + std::to_string(::getpid());
   store::DiskFiles files;
-  std::printf("%12s %14s %12s %14s %14s\n", "entries", "entries/s", "bytes each", "recovery s", "with snapshot");
+  std::printf("%12s %14s %12s %14s %14s\n", "entries", "entries/s", "bytes each", "recovery s",
+              "with snapshot");
   for (std::uint64_t n = most / 10; n <= most; n *= 10) {
     const std::string folder = root + "/" + std::to_string(n);
     const double took = fill(files, folder, n, 0, false);
     double bytes = 0;
-    for (const auto& f : std::filesystem::directory_iterator(folder + "/entries")) bytes += static_cast<double>(f.file_size());
+    for (const auto& f : std::filesystem::directory_iterator(folder + "/entries"))
+      bytes += static_cast<double>(f.file_size());
     const double without = recover(files, folder);
     std::filesystem::remove_all(folder);
     fill(files, folder, n, 0, true);
-    std::printf("%12llu %14.0f %12.1f %14.2f %14.3f\n", static_cast<unsigned long long>(n), static_cast<double>(n) / took,
-                bytes / static_cast<double>(n), without, recover(files, folder));
+    std::printf("%12llu %14.0f %12.1f %14.2f %14.3f\n", static_cast<unsigned long long>(n),
+                static_cast<double>(n) / took, bytes / static_cast<double>(n), without,
+                recover(files, folder));
     std::filesystem::remove_all(folder);
   }
   std::printf("%12s %10s %12s %14s %12s\n", "ledgers", "entries", "s", "entries/s", "most MiB");
@@ -95,7 +103,8 @@
   std::uint64_t all = 0;
   for (int i = 0; i < 10; ++i) {
     folders.push_back(root + "/l" + std::to_string(i));
-    fill(files, folders.back(), most / 10, static_cast<std::uint64_t>(i) * most / 10 - (i > 0 ? 5 : 0), false);
+    fill(files, folders.back(), most / 10, static_cast<std::uint64_t>(i) * most / 10 - (i > 0 ? 5 : 0),
+         false);
     all += most / 10;
     if (i != 0 && i != 2 && i != 9) continue;
     ReconcileOptions o;
@@ -103,9 +112,13 @@
     Reconciled r;
     store::Fault fault;
     const double start = now();
-    if (!reconcile(files, folders, o, [](const Found&) {}, r, fault)) return 1;
-    std::printf("%12zu %10llu %12.2f %14.0f %12.0f  billed twice %llu\n", folders.size(), static_cast<unsigned long long>(all),
-                now() - start, static_cast<double>(all) / (now() - start), most_memory(), static_cast<unsigned long long>(r.found[0]));
+    if (!reconcile(
+            files, folders, o, [](const Found&) {}, r, fault))
+      return 1;
+    std::printf("%12zu %10llu %12.2f %14.0f %12.0f  billed twice %llu\n", folders.size(),
+                static_cast<unsigned long long>(all), now() - start,
+                static_cast<double>(all) / (now() - start), most_memory(),
+                static_cast<unsigned long long>(r.found[0]));
   }
   std::filesystem::remove_all(root);
   return 0;
--- a/bench/tenants.cpp
+++ b/bench/tenants.cpp
@@ -1,6 +1,7 @@
-// What one tenant that keeps to the protocol and presses leaves for another: a scheduler, two nodes of one core each
-// that serve in turn, a quiet tenant at a fifth of what they manage, and beside it one that presses, in each way
-// alone. All in one loop on loopback; the nodes' work is time that passes. docs/review-findings.md has the table.
+// What one tenant that keeps to the protocol and presses leaves for another: a scheduler, two nodes of one
+// core each that serve in turn, a quiet tenant at a fifth of what they manage, and beside it one that
+// presses, in each way alone. All in one loop on loopback; the nodes' work is time that passes.
+// docs/review-findings.md has the table.
 #include <sys/resource.h>
 
 #include <cstdio>
@@ -15,8 +16,8 @@
 
 namespace {
 
-constexpr double kUnit = 0.004;   // s of a node for a block
-constexpr double kLength = 4;     // s of each way to press
+constexpr double kUnit = 0.004;     // s of a node for a block
+constexpr double kLength = 4;       // s of each way to press
 constexpr double kQuietRate = 100;  // reads of one block a second, over both nodes
 
 // Serves what its stand-in keeps, one after the other; drops what has timed out, as full what is over 64.
@@ -69,8 +70,8 @@
 
 using Press = std::function<void(Rig&, std::vector<ScriptClient*>&, std::uint64_t& token)>;
 
-void command(ScriptClient& c, std::uint64_t token, std::uint8_t op, std::uint64_t lba, std::uint32_t blocks, double left,
-             std::uint64_t label) {
+void command(ScriptClient& c, std::uint64_t token, std::uint8_t op, std::uint64_t lba, std::uint32_t blocks,
+             double left, std::uint64_t label) {
   nvme::Sqe q;
   q.opcode = op;
   q.nsid = 2;
@@ -126,12 +127,13 @@
   return out;
 }
 
-// Four clients in a loop of their own, which stands still once they are up, or is let run only now and then: they
-// send and never read, or slowly.
+// Four clients in a loop of their own, which stands still once they are up, or is let run only now and then:
+// they send and never read, or slowly.
 struct Idle {
   explicit Idle(double every = 0) : every_(every) {}
   void press(Rig& r, std::uint64_t& token) {
-    while (clients.size() < 4) clients.push_back(std::make_unique<ScriptClient>(loop, r.scheduler->address()));
+    while (clients.size() < 4)
+      clients.push_back(std::make_unique<ScriptClient>(loop, r.scheduler->address()));
     for (auto& c : clients) {
       if (!c->host->ready()) return loop.turn(0);
     }
@@ -141,7 +143,8 @@
       for (auto& c : clients) c->answers.clear();
     }
     for (auto& c : clients) {
-      while (c->host->has_room()) command(*c, token, nvme::opcode::kRead, token % 2 * 64, 16, 0, token), ++token;
+      while (c->host->has_room())
+        command(*c, token, nvme::opcode::kRead, token % 2 * 64, 16, 0, token), ++token;
     }
   }
   MonotonicClock clock;
@@ -149,12 +152,13 @@
   std::vector<std::unique_ptr<ScriptClient>> clients;
 
  private:
-  const double every_;  // s between two turns of the loop, each with one read of 256 KiB a client at most; 0: none
+  const double
+      every_;  // s between two turns of the loop, each with one read of 256 KiB a client at most; 0: none
   double next_ = 0;
 };
 
-// Bytes of answers that one connection can make the scheduler hold: largest reads at full depth, nodes that answer at
-// once, and a client that reads nothing.
+// Bytes of answers that one connection can make the scheduler hold: largest reads at full depth, nodes that
+// answer at once, and a client that reads nothing.
 double unread_at_most() {
   Rig r("[[volumes]]\nfirst = 2\nplan = \"base\"\n");
   r.start();
@@ -171,7 +175,8 @@
   return 1e-6 * static_cast<double>(most);
 }
 
-void each(std::vector<ScriptClient*>& clients, std::uint64_t& token, std::size_t most, const std::function<void(ScriptClient&, std::uint64_t)>& one) {
+void each(std::vector<ScriptClient*>& clients, std::uint64_t& token, std::size_t most,
+          const std::function<void(ScriptClient&, std::uint64_t)>& one) {
   for (ScriptClient* c : clients) {
     while (c->host->ready() && c->host->has_room() && c->host->out() < most) one(*c, token++);
   }
@@ -188,27 +193,41 @@
     Press press;
   } ways[] = {
       {"nobody presses", 0, nullptr},
-      {"full depth on 8 connections", 8, [](Rig&, auto& c, auto& t) {
-         each(c, t, 126, [](ScriptClient& k, std::uint64_t n) { command(k, n, kRead, n % 2 * 64 + n % 60, 1, 0, n); });
+      {"full depth on 8 connections", 8,
+       [](Rig&, auto& c, auto& t) {
+         each(c, t, 126,
+              [](ScriptClient& k, std::uint64_t n) { command(k, n, kRead, n % 2 * 64 + n % 60, 1, 0, n); });
        }},
-      {"largest transactions", 2, [](Rig&, auto& c, auto& t) {
+      {"largest transactions", 2,
+       [](Rig&, auto& c, auto& t) {
          each(c, t, 64, [](ScriptClient& k, std::uint64_t n) { command(k, n, kRead, n % 2 * 64, 64, 0, n); });
        }},
-      {"one hot key, in order", 4, [](Rig&, auto& c, auto& t) {
+      {"one hot key, in order", 4,
+       [](Rig&, auto& c, auto& t) {
          each(c, t, 126, [](ScriptClient& k, std::uint64_t n) { command(k, n, kWrite, 0, 1, 0, n); });
        }},
-      {"60 ms left", 2, [](Rig&, auto& c, auto& t) {
-         each(c, t, 32, [](ScriptClient& k, std::uint64_t n) { command(k, n, kRead, n % 2 * 64, 4, 0.06, n); });
+      {"60 ms left", 2,
+       [](Rig&, auto& c, auto& t) {
+         each(c, t, 32,
+              [](ScriptClient& k, std::uint64_t n) { command(k, n, kRead, n % 2 * 64, 4, 0.06, n); });
        }},
-      {"an hour left", 4, [](Rig&, auto& c, auto& t) {
-         each(c, t, 126, [](ScriptClient& k, std::uint64_t n) { command(k, n, kRead, n % 2 * 64 + n % 60, 1, 3600, n); });
+      {"an hour left", 4,
+       [](Rig&, auto& c, auto& t) {
+         each(c, t, 126, [](ScriptClient& k, std::uint64_t n) {
+           command(k, n, kRead, n % 2 * 64 + n % 60, 1, 3600, n);
+         });
        }},
-      {"one label for all", 4, [](Rig&, auto& c, auto& t) {
-         each(c, t, 64, [](ScriptClient& k, std::uint64_t n) { command(k, n, kWrite, n % 2 * 64 + n % 60, 1, 0, 7); });
+      {"one label for all", 4,
+       [](Rig&, auto& c, auto& t) {
+         each(c, t, 64,
+              [](ScriptClient& k, std::uint64_t n) { command(k, n, kWrite, n % 2 * 64 + n % 60, 1, 0, 7); });
        }},
-      {"reads no answers", 0, [idle = std::make_shared<Idle>()](Rig& r, auto&, auto& t) { idle->press(r, t); }},
-      {"reads slowly", 0, [idle = std::make_shared<Idle>(0.25)](Rig& r, auto&, auto& t) { idle->press(r, t); }},
-      {"lands and leaves", 1, [](Rig& r, auto& c, auto& t) {
+      {"reads no answers", 0,
+       [idle = std::make_shared<Idle>()](Rig& r, auto&, auto& t) { idle->press(r, t); }},
+      {"reads slowly", 0,
+       [idle = std::make_shared<Idle>(0.25)](Rig& r, auto&, auto& t) { idle->press(r, t); }},
+      {"lands and leaves", 1,
+       [](Rig& r, auto& c, auto& t) {
          ScriptClient& k = *c[0];
          if (k.host && k.host->ready()) {
            for (int i = 0; i < 40; ++i, ++t) command(k, t, kRead, t % 2 * 64 + t % 60, 1, 0, t);
@@ -223,16 +242,18 @@
          }
        }},
   };
-  std::printf("%-28s %5s %8s %5s %12s %8s %8s %8s %9s\n", "the other tenant", "sent", "in time", "late", "turned back",
-              "p50 ms", "p99 ms", "most ms", "unread MB");
+  std::printf("%-28s %5s %8s %5s %12s %8s %8s %8s %9s\n", "the other tenant", "sent", "in time", "late",
+              "turned back", "p50 ms", "p99 ms", "most ms", "unread MB");
   for (const auto& way : ways) {
     if (argc > 1 && std::string(way.name) != argv[1]) continue;  // one way alone
     const Result m = measure(way.press, way.connections);
     const auto part = [&](double q) {
-      return m.took.empty() ? 0.0 : 1000 * m.took[static_cast<std::size_t>(q * static_cast<double>(m.took.size() - 1))];
+      return m.took.empty()
+                 ? 0.0
+                 : 1000 * m.took[static_cast<std::size_t>(q * static_cast<double>(m.took.size() - 1))];
     };
-    std::printf("%-28s %5d %8d %5d %12d %8.1f %8.1f %8.1f %9.2f\n", way.name, m.sent, m.in_time, m.late, m.turned_back, part(0.5),
-                part(0.99), part(1), 1e-6 * static_cast<double>(m.unread));
+    std::printf("%-28s %5d %8d %5d %12d %8.1f %8.1f %8.1f %9.2f\n", way.name, m.sent, m.in_time, m.late,
+                m.turned_back, part(0.5), part(0.99), part(1), 1e-6 * static_cast<double>(m.unread));
     std::fflush(stdout);
   }
   std::printf("a connection that reads nothing makes the scheduler hold %.1f MB at most\n", unread_at_most());
--- a/bench/wire.cpp
+++ b/bench/wire.cpp
@@ -95,27 +95,36 @@
 
 // Twenty rules as operators write them; the last holds for every read of the bench.
 std::string twenty_rules() {
-  std::string out = "[sets.office]\nnetworks = [\"127.0.0.0/8\", \"10.18.0.0/16\"]\n"
-                    "[[definition]]\nname = \"small\"\nis = \"operation == 'read' && blocks <= 4\"\n";
+  std::string out =
+      "[sets.office]\nnetworks = [\"127.0.0.0/8\", \"10.18.0.0/16\"]\n"
+      "[[definition]]\nname = \"small\"\nis = \"operation == 'read' && blocks <= 4\"\n";
   for (int i = 0; i < 19; ++i) {
-    out += "[[rule]]\nwhen = \"" + std::string(i % 3 == 0 ? "volume == " + std::to_string(100 + i) + " && small"
-                                             : i % 3 == 1 ? "small && starts_with(client.name, 'importer." + std::to_string(i) + "')"
-                                                          : "client.address in $office && lba in " + std::to_string(100000 + i) + "..200000") +
-           "\"\nprofile = \"r\"\n";
+    out +=
+        "[[rule]]\nwhen = \"" +
+        std::string(i % 3 == 0 ? "volume == " + std::to_string(100 + i) + " && small"
+                    : i % 3 == 1
+                        ? "small && starts_with(client.name, 'importer." + std::to_string(i) + "')"
+                        : "client.address in $office && lba in " + std::to_string(100000 + i) + "..200000") +
+        "\"\nprofile = \"r\"\n";
   }
-  return out + "[[rule]]\nwhen = \"plan == 'p' && small && starts_with(client.name, 'nqn.2026')\"\nprofile = \"r\"\n"
-               "key = \"hash(volume, lba)\"\n";
+  return out +
+         "[[rule]]\nwhen = \"plan == 'p' && small && starts_with(client.name, 'nqn.2026')\"\nprofile = "
+         "\"r\"\n"
+         "key = \"hash(volume, lba)\"\n";
 }
 
 Part start_scheduler(const Address& list, double contract, const std::string& rules = "") {
   static int number = 0;
-  const std::string path = "/tmp/heronworks-bench-" + std::to_string(::getpid()) + "-" + std::to_string(number++) + ".toml";
+  const std::string path =
+      "/tmp/heronworks-bench-" + std::to_string(::getpid()) + "-" + std::to_string(number++) + ".toml";
   std::ofstream(path) << "[scheduler]\nlisten = \"127.0.0.1:0\"\n[list]\naddress = \"" << list.text()
                       << "\"\n[space]\nzone_blocks = 4096\nzones = 4\nshards = 1\n[log]\nlevel = \"error\"\n"
                       << "[limits]\nconnections = 5000\nopen = 20000\n"
-                      << "[[profile]]\nname = \"r\"\ncontract = " << contract << "\ncut_off = " << 2 * contract
+                      << "[[profile]]\nname = \"r\"\ncontract = " << contract
+                      << "\ncut_off = " << 2 * contract
                       << "\nrepeat = \"redoable\"\n[[plan]]\nname = \"p\"\nusual = 1e8\nreservation = 1e8\n"
-                      << "[[match]]\nprofile = \"r\"\n[[volumes]]\nfirst = 1\nplan = \"p\"\n" << rules;
+                      << "[[match]]\nprofile = \"r\"\n[[volumes]]\nfirst = 1\nplan = \"p\"\n"
+                      << rules;
   return part([&](auto tell) {
     config::Problems problems;
     const auto c = config::read_gateway(path, problems);
@@ -154,14 +163,18 @@
   int failed = 0;
   double at(double part) {
     std::sort(times.begin(), times.end());
-    return times.empty() ? 0 : times[std::min(times.size() - 1, static_cast<std::size_t>(part * static_cast<double>(times.size())))];
+    return times.empty()
+               ? 0
+               : times[std::min(times.size() - 1,
+                                static_cast<std::size_t>(part * static_cast<double>(times.size())))];
   }
 };
 
 // Keeps `depth` reads out for a while.
 class Reader final : public nvme::HostOwner {
  public:
-  Reader(Loop& loop, const nvme::HostOptions& o, int depth) : loop_(loop), depth_(depth), host_(loop, o, *this) {}
+  Reader(Loop& loop, const nvme::HostOptions& o, int depth)
+      : loop_(loop), depth_(depth), host_(loop, o, *this) {}
   void ready() override {
     began_ = loop_.now();
     for (int i = 0; i < depth_; ++i) next();
@@ -244,20 +257,25 @@
   std::vector<std::unique_ptr<Idle>> clients;
   // 500 associations: an admin and an I/O connection each.
   for (int i = 0; i < 500; ++i) {
-    clients.push_back(std::make_unique<Idle>(loop, options(scheduler.address, "nqn.2026-11.org.heronworks:gateway", 128)));
+    clients.push_back(
+        std::make_unique<Idle>(loop, options(scheduler.address, "nqn.2026-11.org.heronworks:gateway", 128)));
     if (i % 50 == 49) {
       const double end = clock.now() + 10;
-      while (clock.now() < end && !std::all_of(clients.begin(), clients.end(), [](auto& c) { return c->host.ready(); }))
+      while (clock.now() < end &&
+             !std::all_of(clients.begin(), clients.end(), [](auto& c) { return c->host.ready(); }))
         loop.turn(0.01);
     }
   }
   const double connected = memory_of(scheduler.pid);
   const double cpu_before = cpu_of(scheduler.pid);
-  for (std::uint64_t i = 0; i < 10000; ++i) clients[i % clients.size()]->host.submit(i, read_of(i), nullptr, 4096);
+  for (std::uint64_t i = 0; i < 10000; ++i)
+    clients[i % clients.size()]->host.submit(i, read_of(i), nullptr, 4096);
   const double end = clock.now() + 3;
   while (clock.now() < end) loop.turn(0.01);
-  std::printf("\nscheduler's resident memory: %.1f MiB empty, %.1f with 1,000 connections, %.1f with 10,000 open too\n",
-              empty, connected, memory_of(scheduler.pid));
+  std::printf(
+      "\nscheduler's resident memory: %.1f MiB empty, %.1f with 1,000 connections, %.1f with 10,000 open "
+      "too\n",
+      empty, connected, memory_of(scheduler.pid));
   std::printf("CPU of the scheduler in the 3 s after they came, nothing answered: %.2f s\n",
               cpu_of(scheduler.pid) - cpu_before);
   for (const Part& p : {scheduler, list, node}) {
@@ -292,8 +310,10 @@
               {"after", after, "nqn.2026-11.org.heronworks:gateway"}};
   constexpr int kWays = std::size(ways);
   ::usleep(300000);
-  std::printf("\n4 KiB reads, a stand-in that does no work; all on one machine; best of %d rounds each\n", kRounds);
-  std::printf("%-10s %5s %10s %9s %9s %9s %9s %7s\n", "way", "deep", "reads/s", "p50 us", "p99 us", "p999 us", "CPU us", "failed");
+  std::printf("\n4 KiB reads, a stand-in that does no work; all on one machine; best of %d rounds each\n",
+              kRounds);
+  std::printf("%-10s %5s %10s %9s %9s %9s %9s %7s\n", "way", "deep", "reads/s", "p50 us", "p99 us", "p999 us",
+              "CPU us", "failed");
   for (const int depth : {1, 8, 32}) {
     Figures best[kWays];
     double cpu[kWays] = {};
@@ -309,14 +329,14 @@
     }
     for (int w = 0; w < kWays; ++w) {
       Figures& f = best[w];
-      std::printf("%-10s %5d %10.0f %9.1f %9.1f %9.1f %9.2f %7d\n", ways[w].name, depth, f.rate, 1e6 * f.at(0.5),
-                  1e6 * f.at(0.99), 1e6 * f.at(0.999), 1e6 * cpu[w] / reads[w], f.failed);
+      std::printf("%-10s %5d %10.0f %9.1f %9.1f %9.1f %9.2f %7d\n", ways[w].name, depth, f.rate,
+                  1e6 * f.at(0.5), 1e6 * f.at(0.99), 1e6 * f.at(0.999), 1e6 * cpu[w] / reads[w], f.failed);
     }
     std::printf("%-10s %5d %10.2f  p50 +%.1f us\n", "ratio", depth, best[1].rate / best[0].rate,
                 1e6 * (best[1].at(0.5) - best[0].at(0.5)));
     for (int w = 2; w < kWays; ++w) {
-      std::printf("%-10s %5d %10.3f  p99 %+.2f ms, CPU %.3f of those of the scheduler alone\n", ways[w].name, depth,
-                  best[w].rate / best[1].rate, 1e3 * (best[w].at(0.99) - best[1].at(0.99)),
+      std::printf("%-10s %5d %10.3f  p99 %+.2f ms, CPU %.3f of those of the scheduler alone\n", ways[w].name,
+                  depth, best[w].rate / best[1].rate, 1e3 * (best[w].at(0.99) - best[1].at(0.99)),
                   (cpu[w] / reads[w]) / (cpu[1] / reads[1]));
     }
   }
--- a/src/cli/expr.cpp
+++ b/src/cli/expr.cpp
@@ -21,13 +21,15 @@
 }
 
 // Values of a transaction from JSON, by the names and types of the schema; what is left out is 0 or empty.
-bool read_record(const std::string& text, expr::Record& record, std::vector<std::string>& texts, std::string& reason) {
+bool read_record(const std::string& text, expr::Record& record, std::vector<std::string>& texts,
+                 std::string& reason) {
   const auto j = nlohmann::json::parse(text, nullptr, false);
   if (!j.is_object()) return reason = "a JSON object is expected", false;
   texts.reserve(expr::kFields);
   for (const auto& [key, value] : j.items()) {
     const int f = expr::find_field(key);
-    if (f < 0) return reason = "unknown field '" + key + "'; did you mean " + expr::nearest_name(key) + "?", false;
+    if (f < 0)
+      return reason = "unknown field '" + key + "'; did you mean " + expr::nearest_name(key) + "?", false;
     const expr::Type t = expr::fields()[static_cast<std::size_t>(f)].type;
     expr::Value& v = record.values[static_cast<std::size_t>(f)];
     if (t == expr::kString && value.is_string()) {
@@ -89,8 +91,8 @@
 int expr_explain(const std::string& source) {
   const auto p = compiled(source);
   if (!p) return 2;
-  std::printf("type %s, at most %llu steps, %zu registers, %zu bytes of computed texts, %s\n%s", p->result.text().c_str(),
-              static_cast<unsigned long long>(p->cost), p->registers, p->scratch,
+  std::printf("type %s, at most %llu steps, %zu registers, %zu bytes of computed texts, %s\n%s",
+              p->result.text().c_str(), static_cast<unsigned long long>(p->cost), p->registers, p->scratch,
               p->stable ? "the same for every try" : "may change between tries", p->listing().c_str());
   return 0;
 }
@@ -101,7 +103,8 @@
   expr::Record record;
   std::vector<std::string> texts;
   std::string reason;
-  if (!read_record(transaction.starts_with("{") ? transaction : whole_file(transaction), record, texts, reason)) {
+  if (!read_record(transaction.starts_with("{") ? transaction : whole_file(transaction), record, texts,
+                   reason)) {
     std::fprintf(stderr, "transaction: %s\n", reason.c_str());
     return 2;
   }
@@ -116,8 +119,10 @@
 }
 
 int expr_reference() {
-  std::printf("# Expressions: reference\n\nMade by `heronworks expr reference` from the tables that the checks use.\n\n%s",
-              expr::reference().c_str());
+  std::printf(
+      "# Expressions: reference\n\nMade by `heronworks expr reference` from the tables that the checks "
+      "use.\n\n%s",
+      expr::reference().c_str());
   return 0;
 }
 
@@ -126,7 +131,9 @@
   expr::Record record;
   const std::string plan = "socio-plus";
   const std::string name = "nqn.2026-11.org.heronworks:client.7";
-  const auto set = [&](const char* field, expr::Value v) { record.values[static_cast<std::size_t>(expr::find_field(field))] = v; };
+  const auto set = [&](const char* field, expr::Value v) {
+    record.values[static_cast<std::size_t>(expr::find_field(field))] = v;
+  };
   set("plan", expr::Value(std::string_view(plan)));
   set("operation", expr::Value(std::string_view("read")));
   set("client.name", expr::Value(std::string_view(name)));
@@ -165,34 +172,43 @@
     std::printf("%-10d %12.0f %12.0f\n", n, time(make(indexed, {})), time(make(each, {})));
   }
   std::printf("a typical rule: %.0f ns\n",
-              time(make({"plan == \"socio-plus\" && operation == \"read\" && blocks <= 4 && starts_with(client.name, \"nqn.2026\")"}, {})));
+              time(make({"plan == \"socio-plus\" && operation == \"read\" && blocks <= 4 && "
+                         "starts_with(client.name, \"nqn.2026\")"},
+                        {})));
   {
     std::vector<std::string> many;
     for (int i = 0; i < 1000; ++i) {
-      many.push_back("plan == \"socio-plus\" && operation == \"read\" && blocks <= " + std::to_string(i % 7 + 1) +
-                     " && volume in [" + std::to_string(3 * i) + ", " + std::to_string(3 * i + 1) + "] && starts_with(client.name, \"nqn.2026\")");
+      many.push_back("plan == \"socio-plus\" && operation == \"read\" && blocks <= " +
+                     std::to_string(i % 7 + 1) + " && volume in [" + std::to_string(3 * i) + ", " +
+                     std::to_string(3 * i + 1) + "] && starts_with(client.name, \"nqn.2026\")");
     }
     const double before = resident();
     const auto from = std::chrono::steady_clock::now();
     const auto rules = make(many, {});
-    const double ms = std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - from).count();
-    std::printf("1,000 rules of five conditions: %.1f ms to load, %.2f MiB, %zu of %zu parts shared, %.0f ns for one match\n",
-                ms, resident() - before, rules.shared(), rules.parts(), time(rules));
+    const double ms =
+        std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - from).count();
+    std::printf(
+        "1,000 rules of five conditions: %.1f ms to load, %.2f MiB, %zu of %zu parts shared, %.0f ns for one "
+        "match\n",
+        ms, resident() - before, rules.shared(), rules.parts(), time(rules));
   }
   std::printf("%-10s %12s %12s %12s\n", "networks", "ns", "ms to load", "MiB");
   for (const int n : {10, 1000, 100000}) {
     std::vector<std::string> entries;
     for (int i = 0; i < n; ++i) {
-      entries.push_back("10." + std::to_string(i / 256 / 2 % 256) + "." + std::to_string(i % 256) + "." + std::to_string(i / 256 % 2 * 128) + "/26");
+      entries.push_back("10." + std::to_string(i / 256 / 2 % 256) + "." + std::to_string(i % 256) + "." +
+                        std::to_string(i / 256 % 2 * 128) + "/26");
     }
     expr::NetworkSets sets;
     std::string reason;
     const double before = resident();
     const auto from = std::chrono::steady_clock::now();
     expr::Networks::make(entries, sets["all"], reason);
-    const double ms = std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - from).count();
+    const double ms =
+        std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - from).count();
     const double mib = resident() - before;
-    std::printf("%-10zu %12.0f %12.2f %12.2f\n", sets["all"].ranges(), time(make({"client.address in $all"}, sets)), ms, mib);
+    std::printf("%-10zu %12.0f %12.2f %12.2f\n", sets["all"].ranges(),
+                time(make({"client.address in $all"}, sets)), ms, mib);
   }
   return 0;
 }
--- a/src/cli/ledger.cpp
+++ b/src/cli/ledger.cpp
@@ -55,21 +55,26 @@
   LedgerFacts facts;
   Desk desk;
   store::Fault fault;
-  if (!read_ledger(files, w.folder, {}, facts, fault) || !read_desk(files, w.folder, desk, fault)) return refuse(fault);
+  if (!read_ledger(files, w.folder, {}, facts, fault) || !read_desk(files, w.folder, desk, fault))
+    return refuse(fault);
   std::printf("ledger %s of scheduler %u: %llu entries in %zu segments of %.1f MiB, %zu corrections\n",
-              ledger_name(facts.ledger).c_str(), facts.scheduler, static_cast<unsigned long long>(facts.entries),
-              facts.log.segments, static_cast<double>(facts.log.bytes) / 1048576, desk.corrections.size());
+              ledger_name(facts.ledger).c_str(), facts.scheduler,
+              static_cast<unsigned long long>(facts.entries), facts.log.segments,
+              static_cast<double>(facts.log.bytes) / 1048576, desk.corrections.size());
   if (facts.log.cut) std::printf("%s\n", facts.log.cut->shown().c_str());
   for (const wire::Note& n : facts.notes) std::printf("note: %s\n", n.text().c_str());
   std::printf("%10s %12s %12s %12s %8s  %s\n", "period", "first", "last", "units", "repeats", "exported");
   for (const wire::Closed& c : facts.closed) {
     std::string exported;
     for (const auto& [id, i] : desk.intents) {
-      if (i.period() == c.period()) exported += (exported.empty() ? "" : ", ") + id + (desk.committed.contains(id) ? "" : " (not finished)");
+      if (i.period() == c.period())
+        exported +=
+            (exported.empty() ? "" : ", ") + id + (desk.committed.contains(id) ? "" : " (not finished)");
     }
     std::printf("%10lld %12llu %12llu %12llu %8llu  %s\n", static_cast<long long>(c.period()),
                 static_cast<unsigned long long>(c.first()), static_cast<unsigned long long>(c.last()),
-                static_cast<unsigned long long>(c.units()), static_cast<unsigned long long>(c.repeats()), exported.c_str());
+                static_cast<unsigned long long>(c.units()), static_cast<unsigned long long>(c.repeats()),
+                exported.c_str());
   }
   std::printf("%10lld  runs, %llu units so far\n", static_cast<long long>(facts.open_period),
               static_cast<unsigned long long>(facts.open_units));
@@ -87,11 +92,14 @@
         (!w.tenant.empty() && e.tenant() != w.tenant))
       return;
     ++shown;
-    std::printf("%llu identity %llu tenant %s volume %u plan %s profile %s units %u bytes %llu standing %d period %lld%s\n",
-                static_cast<unsigned long long>(e.number()), static_cast<unsigned long long>(e.identity()),
-                e.tenant().c_str(), e.volume(), e.plan().c_str(), e.profile().c_str(), e.units(),
-                static_cast<unsigned long long>(e.bytes()), static_cast<int>(e.standing()), static_cast<long long>(e.period()),
-                e.repeat_of() ? (" repeats " + std::to_string(e.repeat_of())).c_str() : "");
+    std::printf(
+        "%llu identity %llu tenant %s volume %u plan %s profile %s units %u bytes %llu standing %d period "
+        "%lld%s\n",
+        static_cast<unsigned long long>(e.number()), static_cast<unsigned long long>(e.identity()),
+        e.tenant().c_str(), e.volume(), e.plan().c_str(), e.profile().c_str(), e.units(),
+        static_cast<unsigned long long>(e.bytes()), static_cast<int>(e.standing()),
+        static_cast<long long>(e.period()),
+        e.repeat_of() ? (" repeats " + std::to_string(e.repeat_of())).c_str() : "");
   };
   return read_ledger(files, w.folder, visitor, facts, fault) ? 0 : refuse(fault);
 }
@@ -101,9 +109,12 @@
   store::Fault fault;
   LedgerFacts facts;
   Desk desk;
-  if (!read_ledger(files, w.folder, {}, facts, fault) || !read_desk(files, w.folder, desk, fault)) return refuse(fault);
-  std::printf("%llu entries, %zu seals: all hold\n", static_cast<unsigned long long>(facts.entries), facts.closed.size());
-  if (facts.log.cut) std::printf("%s (a crash leaves one; the next start cuts it)\n", facts.log.cut->shown().c_str());
+  if (!read_ledger(files, w.folder, {}, facts, fault) || !read_desk(files, w.folder, desk, fault))
+    return refuse(fault);
+  std::printf("%llu entries, %zu seals: all hold\n", static_cast<unsigned long long>(facts.entries),
+              facts.closed.size());
+  if (facts.log.cut)
+    std::printf("%s (a crash leaves one; the next start cuts it)\n", facts.log.cut->shown().c_str());
   return 0;
 }
 
@@ -120,7 +131,8 @@
   if (!log) return refuse(fault);
   if (!wrong.empty()) return refuse({w.folder, 0, wrong, 0});
   std::vector<std::string> records;
-  const double now = std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
+  const double now =
+      std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
   book.tick(std::max(now, book.time()), records);
   for (const std::string& r : records) log->append(store::view(r));
   if (const int e = log->commit(); e != 0) return refuse({w.folder, 0, "cannot be written", e});
@@ -141,7 +153,8 @@
   std::vector<Wanted> wanted;
   if (!read_ledger(files, w.folder, {}, facts, fault)) return refuse(fault);
   if (w.from.empty()) {
-    if (w.entry == 0 || w.units == 0 || w.why.empty()) return refuse({"correct", 0, "--entry, --units and --why are needed, or --from", 0});
+    if (w.entry == 0 || w.units == 0 || w.why.empty())
+      return refuse({"correct", 0, "--entry, --units and --why are needed, or --from", 0});
     wanted.push_back({w.entry, w.units, w.why});
   } else {
     std::ifstream in(w.from);
@@ -151,7 +164,9 @@
       std::istringstream words(line);
       std::string of;
       Wanted x{};
-      if (!(words >> of >> x.entry >> x.units) || of.size() != 16) return refuse({w.from + ", line " + std::to_string(number), 0, "is not ledger, entry, units, reason", 0});
+      if (!(words >> of >> x.entry >> x.units) || of.size() != 16)
+        return refuse(
+            {w.from + ", line " + std::to_string(number), 0, "is not ledger, entry, units, reason", 0});
       std::getline(words >> std::ws, x.why);
       if (of == ledger_name(facts.ledger)) wanted.push_back(x);
     }
@@ -182,7 +197,11 @@
       ++there;
       continue;
     }
-    if (net + x.units < 0) return refuse({w.folder, 0, "entry " + std::to_string(x.entry) + " bills " + std::to_string(net) + " units, which cannot be taken down by " + std::to_string(-x.units), 0});
+    if (net + x.units < 0)
+      return refuse({w.folder, 0,
+                     "entry " + std::to_string(x.entry) + " bills " + std::to_string(net) +
+                         " units, which cannot be taken down by " + std::to_string(-x.units),
+                     0});
     wire::DeskRecord r;
     auto& c = *r.mutable_correction();
     c.set_ledger(facts.ledger);
@@ -194,8 +213,11 @@
     c.set_units(x.units);
     c.set_who(w.who);
     c.set_why(x.why);
-    c.set_at(std::chrono::duration_cast<std::chrono::nanoseconds>(std::chrono::system_clock::now().time_since_epoch()).count());
-    if (const int code = add_to_desk(*log, desk, r); code != 0) return refuse({w.folder + "/desk", 0, "cannot be written", code});
+    c.set_at(std::chrono::duration_cast<std::chrono::nanoseconds>(
+                 std::chrono::system_clock::now().time_since_epoch())
+                 .count());
+    if (const int code = add_to_desk(*log, desk, r); code != 0)
+      return refuse({w.folder + "/desk", 0, "cannot be written", code});
     ++made;
   }
   std::printf("%d corrections made, %d were there already\n", made, there);
@@ -230,7 +252,11 @@
   store::DiskFiles files;
   store::Fault fault;
   ReconcileOptions o;
-  o.scratch = w.scratch.empty() ? (std::filesystem::temp_directory_path() / ("heronworks-reconcile-" + std::to_string(::getpid()))).string() : w.scratch;
+  o.scratch =
+      w.scratch.empty()
+          ? (std::filesystem::temp_directory_path() / ("heronworks-reconcile-" + std::to_string(::getpid())))
+                .string()
+          : w.scratch;
   o.most_in_memory = w.memory;
   o.open_too = w.open_too;
   o.clients = w.clients;
@@ -239,13 +265,18 @@
   std::uint64_t told = 0;
   const auto found = [&](const Found& f) {
     if (++told <= w.count)
-      std::printf("%s: identity %llu, entry %llu of %s, tenant %s, volume %u, period %lld%s%s\n", name(f.what),
-                  static_cast<unsigned long long>(f.identity), static_cast<unsigned long long>(f.entry),
-                  ledger_name(f.ledger).c_str(), f.tenant.c_str(), f.volume, static_cast<long long>(f.period),
-                  f.units != 0 ? (", correct by " + std::to_string(f.units)).c_str() : "",
-                  f.kept_entry != 0 ? (", billed by entry " + std::to_string(f.kept_entry) + " of " + ledger_name(f.kept_ledger)).c_str() : "");
+      std::printf(
+          "%s: identity %llu, entry %llu of %s, tenant %s, volume %u, period %lld%s%s\n", name(f.what),
+          static_cast<unsigned long long>(f.identity), static_cast<unsigned long long>(f.entry),
+          ledger_name(f.ledger).c_str(), f.tenant.c_str(), f.volume, static_cast<long long>(f.period),
+          f.units != 0 ? (", correct by " + std::to_string(f.units)).c_str() : "",
+          f.kept_entry != 0
+              ? (", billed by entry " + std::to_string(f.kept_entry) + " of " + ledger_name(f.kept_ledger))
+                    .c_str()
+              : "");
     if (f.units != 0 && proposals.is_open())
-      proposals << ledger_name(f.ledger) << " " << f.entry << " " << f.units << " " << name(f.what) << ", identity " << f.identity << "\n";
+      proposals << ledger_name(f.ledger) << " " << f.entry << " " << f.units << " " << name(f.what)
+                << ", identity " << f.identity << "\n";
   };
   Reconciled r;
   if (!reconcile(files, w.folders, o, found, r, fault)) return refuse(fault);
@@ -254,10 +285,12 @@
     std::filesystem::remove_all(o.scratch, ignored);
   }
   if (told > w.count) std::printf("and %llu more\n", static_cast<unsigned long long>(told - w.count));
-  std::printf("%zu ledgers, %llu entries (%llu repeats), %llu identities, %llu units billed, %llu entries not sealed yet; %zu runs\n",
-              w.folders.size(), static_cast<unsigned long long>(r.entries), static_cast<unsigned long long>(r.repeats),
-              static_cast<unsigned long long>(r.identities), static_cast<unsigned long long>(r.units),
-              static_cast<unsigned long long>(r.unsealed), r.runs);
+  std::printf(
+      "%zu ledgers, %llu entries (%llu repeats), %llu identities, %llu units billed, %llu entries not sealed "
+      "yet; %zu runs\n",
+      w.folders.size(), static_cast<unsigned long long>(r.entries),
+      static_cast<unsigned long long>(r.repeats), static_cast<unsigned long long>(r.identities),
+      static_cast<unsigned long long>(r.units), static_cast<unsigned long long>(r.unsealed), r.runs);
   std::printf("billed twice %llu, units differ %llu, not by clients %llu, not in ledgers %llu\n",
               static_cast<unsigned long long>(r.found[0]), static_cast<unsigned long long>(r.found[1]),
               static_cast<unsigned long long>(r.found[2]), static_cast<unsigned long long>(r.found[3]));
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -33,18 +33,21 @@
     volumes += n;
     reserved += static_cast<double>(n) * c->settings.plans[static_cast<std::size_t>(v.plan)].reservation;
   }
-  std::printf("%llu volumes of %u zones of %u blocks of %u bytes over %u shards, %g units/s reserved in all\n",
-              static_cast<unsigned long long>(volumes), c->zones, c->zone_blocks, c->block_bytes, c->shards, reserved);
+  std::printf(
+      "%llu volumes of %u zones of %u blocks of %u bytes over %u shards, %g units/s reserved in all\n",
+      static_cast<unsigned long long>(volumes), c->zones, c->zone_blocks, c->block_bytes, c->shards,
+      reserved);
   for (std::size_t i = 0; i < c->profile_names.size(); ++i) {
     const Profile& p = c->settings.profiles[i];
     const char* repeat[] = {"redoable", "labelled", "irreversible"};
-    std::printf("profile %s: contract time %g s, cut-off %g s, %s%s\n", c->profile_names[i].c_str(), p.contract,
-                p.cut_off, repeat[static_cast<int>(p.repeat)], p.in_order ? ", in order" : "");
+    std::printf("profile %s: contract time %g s, cut-off %g s, %s%s\n", c->profile_names[i].c_str(),
+                p.contract, p.cut_off, repeat[static_cast<int>(p.repeat)], p.in_order ? ", in order" : "");
   }
   for (std::size_t i = 0; i < c->plan_names.size(); ++i) {
     const Plan& p = c->settings.plans[i];
     std::printf("plan %s: usual %g, reserved %g, %s units/s, weight %g\n", c->plan_names[i].c_str(), p.usual,
-                p.reservation, p.limit > 0 ? ("limit " + std::to_string(p.limit)).c_str() : "no limit", p.weight);
+                p.reservation, p.limit > 0 ? ("limit " + std::to_string(p.limit)).c_str() : "no limit",
+                p.weight);
   }
   return 0;
 }
@@ -79,7 +82,8 @@
   e->require_subcommand(1);
   std::string source;
   std::string transaction;
-  auto* ec = e->add_subcommand("check", "the [[rule]] tables of a file: all faults, or cost and index of each");
+  auto* ec =
+      e->add_subcommand("check", "the [[rule]] tables of a file: all faults, or cost and index of each");
   ec->add_option("file", path, "configuration, TOML")->required()->check(CLI::ExistingFile);
   auto* ee = e->add_subcommand("eval", "evaluate an expression on a transaction");
   ee->add_option("expression", source)->required();
--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -25,7 +25,8 @@
 
 }  // namespace
 
-void read_profiles(Section& root, Settings& settings, std::vector<std::string>& names, std::vector<double>* late_parts) {
+void read_profiles(Section& root, Settings& settings, std::vector<std::string>& names,
+                   std::vector<double>* late_parts) {
   for (Section& s : root.list("profile")) {
     Profile p;
     twice(s, s.need_text("name"), names, "profile");
@@ -34,7 +35,8 @@
     if (p.cut_off < p.contract) s.complain("cut_off", "must not be under the contract time");
     p.benefit = s.number("benefit", 1, 1e-6, 1e6);
     if (late_parts) late_parts->push_back(s.number("late_part", 0, 0, 1));
-    p.repeat = static_cast<Repeat>(std::max(0, s.one_of("repeat", {"redoable", "labelled", "irreversible"}, -1)));
+    p.repeat =
+        static_cast<Repeat>(std::max(0, s.one_of("repeat", {"redoable", "labelled", "irreversible"}, -1)));
     p.group = static_cast<Group>(std::max(0, s.one_of("group", {"all", "zone", "cell"}, 2)));
     p.label_window = s.number("label_window", 0, 0, kLongest);
     if (p.repeat == Repeat::kLabelled && p.label_window <= 0)
@@ -57,7 +59,8 @@
     p.weight = s.number("weight", 1, 1e-6, 1e6);
     p.benefit_factor = s.number("benefit_factor", 1, 1e-6, 1e6);
     if (p.limit > 0 && p.limit < p.reservation) s.complain("limit", "must not be under the reservation");
-    if (p.limit > 0 && p.burst <= 0) s.complain("", "a plan with a limit needs 'burst', the size of its store");
+    if (p.limit > 0 && p.burst <= 0)
+      s.complain("", "a plan with a limit needs 'burst', the size of its store");
     s.finish();
     settings.plans.push_back(p);
   }
@@ -124,7 +127,8 @@
   Section s = root.section("scheduler");
   settings.index = static_cast<int>(s.integer("index", 0, 0, 65535));
   settings.schedulers = static_cast<int>(s.integer("schedulers", 1, 1, 65536));
-  if (settings.index >= settings.schedulers) s.complain("index", "must be under 'schedulers'; numbers start at 0");
+  if (settings.index >= settings.schedulers)
+    s.complain("index", "must be under 'schedulers'; numbers start at 0");
   settings.seed = static_cast<std::uint64_t>(s.integer("seed", 1, 1, INT64_MAX));
   settings.resolution = s.number("resolution", 0.001, 0, 1);
   settings.asks_for_list = true;
@@ -198,7 +202,8 @@
     if (range.last < range.first) v.complain("last", "must not be under 'first'");
     for (const Volumes& o : c.volumes) {
       if (range.first <= o.last && o.first <= range.last) {
-        v.complain("first", "these volumes overlap with " + std::to_string(o.first) + " to " + std::to_string(o.last));
+        v.complain("first",
+                   "these volumes overlap with " + std::to_string(o.first) + " to " + std::to_string(o.last));
       }
     }
     v.finish();
@@ -206,15 +211,18 @@
   }
   // A client may come again as late as this: its cut-off, and a repeat window.
   for (const Profile& p : settings.profiles) {
-    if (c.ledger.remembers < 2 * (p.cut_off + p.label_window)) c.ledger.remembers = 2 * (p.cut_off + p.label_window);
+    if (c.ledger.remembers < 2 * (p.cut_off + p.label_window))
+      c.ledger.remembers = 2 * (p.cut_off + p.label_window);
   }
   if (c.volumes.empty()) root.complain("", "at least one [[volumes]] is needed");
   for (std::size_t i = 0; i < settings.plans.size(); ++i) {
     const Plan& p = settings.plans[i];
     for (const Volumes& v : c.volumes) {
-      if (v.plan != static_cast<int>(i) || p.limit <= 0 || p.burst <= 0 || p.burst / v.hosts >= settings.largest_units) continue;
-      root.complain("plan", "plan '" + c.plan_names[i] + "': a burst of " + std::to_string(p.burst) + " over " +
-                                std::to_string(v.hosts) + " hosts holds no transaction of " +
+      if (v.plan != static_cast<int>(i) || p.limit <= 0 || p.burst <= 0 ||
+          p.burst / v.hosts >= settings.largest_units)
+        continue;
+      root.complain("plan", "plan '" + c.plan_names[i] + "': a burst of " + std::to_string(p.burst) +
+                                " over " + std::to_string(v.hosts) + " hosts holds no transaction of " +
                                 std::to_string(settings.largest_units) + " units");
       break;
     }
--- a/src/config/gateway_config.h
+++ b/src/config/gateway_config.h
@@ -34,11 +34,11 @@
 // [ledger]: none where `folder` is empty.
 struct LedgerConfig {
   std::string folder;
-  double period = 3600;            // s
-  double remembers = 0;            // s for which a client's identity of a transaction is known
+  double period = 3600;  // s
+  double remembers = 0;  // s for which a client's identity of a transaction is known
   std::size_t identities = 200000;
-  bool waits = true;               // answers wait for their entries
-  std::size_t group = 4096;        // entries that one sync covers, at most
+  bool waits = true;         // answers wait for their entries
+  std::size_t group = 4096;  // entries that one sync covers, at most
 };
 
 struct GatewayConfig {
@@ -53,7 +53,7 @@
   std::string saved_list;  // path; empty: none
   std::string host_name;
   std::vector<Volumes> volumes;
-  std::vector<Rule> rules;   // [[match]]: the default where no expression's rule holds
+  std::vector<Rule> rules;            // [[match]]: the default where no expression's rule holds
   std::shared_ptr<const Rules> expr;  // [[rule]]
 
   // A volume's blocks: zones of `zone_blocks`, zone z on shard z modulo `shards`.
@@ -68,18 +68,18 @@
 
   int most_connections = 0;
   int queue_size = 0;
-  int most_open = 0;              // transactions
-  std::size_t most_bytes = 0;     // of writes held
-  int node_depth = 0;             // commands out at a node, with those timed out and not ended yet
+  int most_open = 0;           // transactions
+  std::size_t most_bytes = 0;  // of writes held
+  int node_depth = 0;          // commands out at a node, with those timed out and not ended yet
   double connect_timeout = 0;
   double idle_close = 0;
   double keep_alive = 0;
-  double way_back = 0;            // s before a client's cut-off by which its answer is sent
-  bool digests = false;           // to nodes and the list
+  double way_back = 0;   // s before a client's cut-off by which its answer is sent
+  bool digests = false;  // to nodes and the list
 
-  std::string log_file;           // empty: standard error
+  std::string log_file;  // empty: standard error
   std::string log_level;
-  int log_lines = 0;              // a second
+  int log_lines = 0;  // a second
 
   std::uint64_t volume_blocks() const { return std::uint64_t{zones} * zone_blocks; }
 };
@@ -88,7 +88,8 @@
 std::optional<GatewayConfig> read_gateway(const std::string& path, Problems& problems);
 
 // Shared with the lab's days: [[profile]], [[plan]], and the tables [sharing], [budget], [cold].
-// `late_parts`, of the benefit that a late answer earns, are for verdicts only: a scheduler's configuration has none.
+// `late_parts`, of the benefit that a late answer earns, are for verdicts only: a scheduler's configuration
+// has none.
 void read_profiles(Section& root, Settings& settings, std::vector<std::string>& names,
                    std::vector<double>* late_parts = nullptr);
 void read_plans(Section& root, Settings& settings, std::vector<std::string>& names);
--- a/src/config/reader.cpp
+++ b/src/config/reader.cpp
@@ -1,12 +1,12 @@
 // TOML with places: see reader.h.
 #include "config/reader.h"
 
-#include "expr/nearest.h"
-
 #include <algorithm>
 #include <cmath>
 #include <sstream>
 
+#include "expr/nearest.h"
+
 namespace heronworks::config {
 namespace {
 
@@ -40,7 +40,8 @@
   const auto value = node->value<double>();
   if (!value || !std::isfinite(*value)) return complain(key, "must be a number"), absent;
   if (*value < least || *value > most) {
-    return complain(key, "must be from " + shown(least) + " to " + shown(most) + ", is " + shown(*value)), absent;
+    return complain(key, "must be from " + shown(least) + " to " + shown(most) + ", is " + shown(*value)),
+           absent;
   }
   return *value;
 }
@@ -50,7 +51,8 @@
   return number(key, least, least, most);
 }
 
-std::int64_t Section::integer(const std::string& key, std::int64_t absent, std::int64_t least, std::int64_t most) {
+std::int64_t Section::integer(const std::string& key, std::int64_t absent, std::int64_t least,
+                              std::int64_t most) {
   const toml::node* node = find(key);
   if (!node) return absent;
   const auto value = node->value_exact<std::int64_t>();
@@ -182,8 +184,8 @@
   try {
     return toml::parse_file(path);
   } catch (const toml::parse_error& error) {
-    problems.push_back({path, error.source().begin.line, error.source().begin.column, "",
-                        std::string(error.description())});
+    problems.push_back(
+        {path, error.source().begin.line, error.source().begin.column, "", std::string(error.description())});
     return {};
   }
 }
--- a/src/config/reader.h
+++ b/src/config/reader.h
@@ -1,12 +1,12 @@
 // Reads TOML with a place for each complaint. All problems of a file are gathered, none is thrown.
 #pragma once
 
+#include <toml++/toml.h>
+
 #include <set>
 #include <string>
 #include <vector>
 
-#include <toml++/toml.h>
-
 namespace heronworks::config {
 
 struct Problem {
--- a/src/config/rules.cpp
+++ b/src/config/rules.cpp
@@ -60,7 +60,9 @@
     for (const std::string& name : labels.keys()) r.labels.emplace_back(name, labels.text(name, ""));
     std::size_t bytes = 0;
     for (const auto& [name, value] : r.labels) bytes += name.size() + value.size();
-    if (bytes > 512) s.complain("labels", "are of " + std::to_string(bytes) + " bytes together, at most 512 go into an entry of the ledger");
+    if (bytes > 512)
+      s.complain("labels", "are of " + std::to_string(bytes) +
+                               " bytes together, at most 512 go into an entry of the ledger");
     s.finish();
     sources.push_back(std::move(r));
   }
--- a/src/config/rules.h
+++ b/src/config/rules.h
@@ -1,4 +1,5 @@
-// [[rule]] and [sets] of a configuration: rules in the expression language, with the file's places in complaints.
+// [[rule]] and [sets] of a configuration: rules in the expression language, with the file's places in
+// complaints.
 #pragma once
 
 #include "config/reader.h"
@@ -13,7 +14,8 @@
   expr::RuleSet set;
 };
 
-// Reads [sets], [[definition]] and [[rule]] of `root`. Nothing and the problems if any of it is wrong; an empty set if there is none.
+// Reads [sets], [[definition]] and [[rule]] of `root`. Nothing and the problems if any of it is wrong; an
+// empty set if there is none.
 std::optional<Rules> read_expr_rules(Section& root, const std::vector<std::string>& profile_names,
                                      const std::vector<Profile>& profiles, Problems& problems);
 
--- a/src/control.cpp
+++ b/src/control.cpp
@@ -42,18 +42,18 @@
 constexpr double kSlackUnit = 2.0;      // s: how little the time left counts beside the benefit
 constexpr double kSameCutOff = 0.01;    // s by which the cut-offs of a try and its repeat may differ
 constexpr double kPatienceDrift = 1.2;  // a second: how fast a client that left early is forgotten
-constexpr double kStayed = 1.25;  // times that bound for each honoured one; it holds while half leave
+constexpr double kStayed = 1.25;        // times that bound for each honoured one; it holds while half leave
 constexpr double kTrialEvery = 0.5;   // s after which late work goes as a trial; longest pause under one out
 constexpr double kAgainPause = 0.03;  // s before a further dispatch, times the dispatches so far
 constexpr double kAgainFloor = 0.1;   // least chance of a further dispatch, so that health is found again
-constexpr double kAgainGain = 0.1;  // weight of the newest where few come: further dispatches, bad replies
-constexpr double kTurnTime = 1.25;  // turn at a cold node, in fall times; a window meets one turn only
-constexpr double kTurnPart = 0.2;   // part of the fall time in which the scheduler in turn sends
+constexpr double kAgainGain = 0.1;    // weight of the newest where few come: further dispatches, bad replies
+constexpr double kTurnTime = 1.25;    // turn at a cold node, in fall times; a window meets one turn only
+constexpr double kTurnPart = 0.2;     // part of the fall time in which the scheduler in turn sends
 constexpr double kColdSpan = 1.05;  // of the fall time for which what was sent counts; clocks differ a little
 constexpr double kGapGrows = 2;     // gap after a bad reply, in gaps before
 constexpr double kBadPart = 0.25;  // part of bad replies, all nodes: from it one makes a gap, work is thinned
 constexpr double kNewsDrift = 0.9;  // a second: what is kept of a gap and a wait that nothing new is heard of
-constexpr double kColdPart = 0.4;  // part of what pushes a cold node over that all may send it; work varies
+constexpr double kColdPart = 0.4;   // part of what pushes a cold node over that all may send it; work varies
 constexpr double kManagedKeep = 0.9;  // a second: what is kept of a shard's usual service
 constexpr int kBudgetSlots = 20;      // parts of the budget's window
 constexpr double kAskFirst = 0.5;     // s before a failed call for the list is made again, doubling
@@ -425,9 +425,7 @@
   widen(w, o);
 }
 
-void Control::release(Open& o) {
-  held_ -= std::exchange(o.held, false) ? 1 : 0;
-}
+void Control::release(Open& o) { held_ -= std::exchange(o.held, false) ? 1 : 0; }
 
 // Danger: a long queue is looked at with every event, and this scheduler drowns in its backlog. While a
 // shard's node has no room even for the least of what waits for it, none may go again, and none is late or
--- a/src/control.h
+++ b/src/control.h
@@ -90,14 +90,14 @@
   double second_at_;
   double ask_at_;
   int ask_fails_ = 0;
-  std::vector<Open> open_;  // by transaction; a slot is free once it is over and nothing is out
+  std::vector<Open> open_;        // by transaction; a slot is free once it is over and nothing is out
   std::vector<Waiting> waiting_;  // by shard + 1, new objects first; emptied as they go out or are answered
   std::vector<int> taken_;        // shards in this look; emptied by it
   std::vector<int> newest_;       // by shard: its newest ready node, or -1; made anew with each list
   int held_ = 0;                  // in waiting_, all together
   std::uint64_t queued_ = 0;
   std::uint64_t look_ = 0;
-  Open smallest_;  // the least that may be asked for room
+  Open smallest_;                              // the least that may be asked for room
   std::vector<std::pair<double, int>> order_;  // scratch of look()
   std::vector<Node> nodes_;                    // by node; as many as the host has indices, see Entry::fresh
   std::vector<double> managed_;                // by shard: usual service, units a second; as many as listed
--- a/src/expr/compile.cpp
+++ b/src/expr/compile.cpp
@@ -13,7 +13,9 @@
 bool text(Type t) { return t == kString || t == kBytes; }
 bool signed_word(Type t) { return t == kInt || t == kDuration; }
 bool unsigned_word(Type t) { return t == kUint || t == kSize; }
-bool ordered(Type t) { return signed_word(t) || unsigned_word(t) || t == kDouble || text(t) || t == kAddress; }
+bool ordered(Type t) {
+  return signed_word(t) || unsigned_word(t) || t == kDouble || text(t) || t == kAddress;
+}
 
 class Compiler {
  public:
@@ -25,20 +27,25 @@
     check(tree);
     if (faults_.size() == before && wanted) {
       adapt(tree, *wanted);
-      if (tree.type != *wanted) fault(tree, "a " + wanted->text() + " is expected, this is a " + tree.type.text());
+      if (tree.type != *wanted)
+        fault(tree, "a " + wanted->text() + " is expected, this is a " + tree.type.text());
     }
-    if (faults_.size() == before && tree.type.shape != Shape::kOne) fault(tree, "a " + tree.type.text() + " is no result");
+    if (faults_.size() == before && tree.type.shape != Shape::kOne)
+      fault(tree, "a " + tree.type.text() + " is no result");
     if (faults_.size() == before && tree.type == kNetwork) fault(tree, "a network stands only after `in`");
     if (faults_.size() > before) return std::nullopt;
     p_.result = tree.type;
     emit(tree, 0);
     p_.registers = std::max<std::size_t>(p_.registers, 1);
     if (p_.code.size() > limits_.instructions)
-      fault(tree, std::to_string(p_.code.size()) + " instructions, at most " + std::to_string(limits_.instructions) + " are allowed");
+      fault(tree, std::to_string(p_.code.size()) + " instructions, at most " +
+                      std::to_string(limits_.instructions) + " are allowed");
     if (p_.scratch > limits_.scratch)
-      fault(tree, std::to_string(p_.scratch) + " bytes of computed texts, at most " + std::to_string(limits_.scratch) + " are allowed");
+      fault(tree, std::to_string(p_.scratch) + " bytes of computed texts, at most " +
+                      std::to_string(limits_.scratch) + " are allowed");
     if (p_.cost > limits_.cost)
-      fault(tree, "it may cost " + std::to_string(p_.cost) + " steps, at most " + std::to_string(limits_.cost) + " are allowed");
+      fault(tree, "it may cost " + std::to_string(p_.cost) + " steps, at most " +
+                      std::to_string(limits_.cost) + " are allowed");
     if (faults_.size() > before) return std::nullopt;
     for (const Constant& c : p_.constants) {
       p_.values.push_back(text(c.type) ? Value(std::string_view(c.bytes)) : c.value);
@@ -56,7 +63,8 @@
     if (t.node != Node::kConstant || t.type != kInt) return;
     const std::int64_t v = t.constant.value.i;
     if (want == kUint && v >= 0) t.constant.value = Value(static_cast<std::uint64_t>(v));
-    else if (want == kDouble && v <= (std::int64_t{1} << 53) && v >= -(std::int64_t{1} << 53)) t.constant.value = Value(static_cast<double>(v));
+    else if (want == kDouble && v <= (std::int64_t{1} << 53) && v >= -(std::int64_t{1} << 53))
+      t.constant.value = Value(static_cast<double>(v));
     else return;
     t.constant.type = t.type = want;
   }
@@ -70,7 +78,8 @@
     // A let is in sight of its body only.
     if (t.node == Node::kLet) {
       check(*t.args[0]);
-      if (t.args[0]->type.shape != Shape::kOne || t.args[0]->type == kNetwork) fault(*t.args[0], "a let holds one value");
+      if (t.args[0]->type.shape != Shape::kOne || t.args[0]->type == kNetwork)
+        fault(*t.args[0], "a let holds one value");
       if (std::any_of(lets_.begin(), lets_.end(), [&](const Tree* l) { return l->text == t.text; }))
         fault(t, "'" + t.text + "' is named already");
       lets_.push_back(&t);
@@ -91,18 +100,30 @@
         t.type = fields()[static_cast<std::size_t>(t.field)].type;
         t.most = fields()[static_cast<std::size_t>(t.field)].most;
         return;
-      case Node::kName: return check_name(t);
+      case Node::kName:
+        return check_name(t);
       case Node::kSet:
         if (!sets_.contains(t.text)) fault(t, "there is no set '$" + t.text + "'" + near_set(t.text));
         t.type = {Base::kNetwork, Shape::kSet};
         return;
-      case Node::kList: return check_list(t);
-      case Node::kRange: return check_range(t);
-      case Node::kUnary: check_unary(t); break;
-      case Node::kBinary: check_binary(t); break;
-      case Node::kCondition: check_condition(t); break;
-      case Node::kCall: check_call(t); break;
-      case Node::kLet: break;
+      case Node::kList:
+        return check_list(t);
+      case Node::kRange:
+        return check_range(t);
+      case Node::kUnary:
+        check_unary(t);
+        break;
+      case Node::kBinary:
+        check_binary(t);
+        break;
+      case Node::kCondition:
+        check_condition(t);
+        break;
+      case Node::kCall:
+        check_call(t);
+        break;
+      case Node::kLet:
+        break;
     }
     if (faults_.size() == before) fold(t);
   }
@@ -143,7 +164,8 @@
     adapt_both(a, b);
     if (a.type != b.type) return fault(t, "a range from " + a.type.text() + " to " + b.type.text());
     if (!ordered(a.type) || text(a.type)) return fault(t, "no range of " + a.type.text());
-    if (a.node != Node::kConstant || b.node != Node::kConstant) return fault(t, "the ends of a range are literals");
+    if (a.node != Node::kConstant || b.node != Node::kConstant)
+      return fault(t, "the ends of a range are literals");
     const bool empty = signed_word(a.type)     ? a.constant.value.i > b.constant.value.i
                        : unsigned_word(a.type) ? a.constant.value.u > b.constant.value.u
                        : a.type == kDouble     ? a.constant.value.d > b.constant.value.d
@@ -160,8 +182,8 @@
   }
 
   void mistake(Tree& t) {
-    fault(t, std::string("'") + name(t.op) + "' has no meaning between a " + t.args[0]->type.text() + " and a " +
-                 t.args[1]->type.text());
+    fault(t, std::string("'") + name(t.op) + "' has no meaning between a " + t.args[0]->type.text() +
+                 " and a " + t.args[1]->type.text());
   }
 
   void check_binary(Tree& t) {
@@ -193,7 +215,8 @@
         t.type = a.type;
         t.most = a.most + b.most;
         if (text(t.type) && t.most > limits_.text)
-          fault(t, "a text of up to " + std::to_string(t.most) + " bytes, at most " + std::to_string(limits_.text) + " are allowed");
+          fault(t, "a text of up to " + std::to_string(t.most) + " bytes, at most " +
+                       std::to_string(limits_.text) + " are allowed");
         return;
       case Op::kSubtract:
         if (!same || a.type == kBool || a.type == kAddress || text(a.type)) return mistake(t);
@@ -201,7 +224,8 @@
         return;
       case Op::kMultiply:
       case Op::kDivide:
-        if ((a.type == kDuration && b.type == kInt) || (a.type == kSize && b.type == kUint)) return void(t.type = a.type);
+        if ((a.type == kDuration && b.type == kInt) || (a.type == kSize && b.type == kUint))
+          return void(t.type = a.type);
         if (a.type == kSize && b.type == kInt) {
           adapt(b, kUint);
           if (b.type == kUint) return void(t.type = kSize);
@@ -213,7 +237,8 @@
         if (!same || (!whole(a.type) && a.type != kDuration && a.type != kSize)) return mistake(t);
         t.type = a.type;
         return;
-      default: return;
+      default:
+        return;
     }
   }
 
@@ -224,7 +249,8 @@
     if (a.type.shape != Shape::kOne) return mistake(t);
     if (b.node == Node::kList) {
       for (auto& item : b.args) adapt(*item, a.type);
-      if (std::all_of(b.args.begin(), b.args.end(), [&](auto& i) { return i->type == a.type; })) b.type = {a.type.base, Shape::kList};
+      if (std::all_of(b.args.begin(), b.args.end(), [&](auto& i) { return i->type == a.type; }))
+        b.type = {a.type.base, Shape::kList};
       adapt(a, {b.type.base, Shape::kOne});
     }
     if (b.node == Node::kRange) {
@@ -232,16 +258,21 @@
       b.type = {b.args[0]->type.base, Shape::kRange};
     }
     const bool network = b.type.base == Base::kNetwork;
-    if (network ? a.type != kAddress : b.type.shape == Shape::kOne || b.type.base != a.type.base) return mistake(t);
-    if (a.type == kDouble && b.type.shape == Shape::kList) return fault(t, "doubles are not looked up; write a range");
+    if (network ? a.type != kAddress : b.type.shape == Shape::kOne || b.type.base != a.type.base)
+      return mistake(t);
+    if (a.type == kDouble && b.type.shape == Shape::kList)
+      return fault(t, "doubles are not looked up; write a range");
     if (a.type == kBool) return mistake(t);
   }
 
   void check_condition(Tree& t) {
-    if (t.args[0]->type != kBool) return fault(*t.args[0], "a bool is expected before ?, this is a " + t.args[0]->type.text());
+    if (t.args[0]->type != kBool)
+      return fault(*t.args[0], "a bool is expected before ?, this is a " + t.args[0]->type.text());
     adapt_both(*t.args[1], *t.args[2]);
-    if (t.args[1]->type != t.args[2]->type || t.args[1]->type.shape != Shape::kOne || t.args[1]->type == kNetwork)
-      return fault(t, "a " + t.args[1]->type.text() + " or a " + t.args[2]->type.text() + ": both must be of one type");
+    if (t.args[1]->type != t.args[2]->type || t.args[1]->type.shape != Shape::kOne ||
+        t.args[1]->type == kNetwork)
+      return fault(t, "a " + t.args[1]->type.text() + " or a " + t.args[2]->type.text() +
+                          ": both must be of one type");
     t.type = t.args[1]->type;
     t.most = std::max(t.args[1]->most, t.args[2]->most);
   }
@@ -249,7 +280,9 @@
   void check_call(Tree& t) {
     const auto type = [&](std::size_t i) { return t.args[i]->type; };
     const auto wrong = [&] { fault(t, std::string("it is called as ") + t.function->signature); };
-    const auto literal = [&](std::size_t i) { return t.args[i]->node == Node::kConstant && type(i) == kString; };
+    const auto literal = [&](std::size_t i) {
+      return t.args[i]->node == Node::kConstant && type(i) == kString;
+    };
     switch (t.function->call) {
       case Call::kStartsWith:
       case Call::kEndsWith:
@@ -261,8 +294,8 @@
         if (type(0) != kString || !literal(1)) return wrong();
         const std::string& pattern = t.args[1]->constant.bytes;
         if (pattern.size() > limits_.regex)
-          return fault(*t.args[1], "a regular expression of " + std::to_string(pattern.size()) + " bytes, at most " +
-                                       std::to_string(limits_.regex) + " are allowed");
+          return fault(*t.args[1], "a regular expression of " + std::to_string(pattern.size()) +
+                                       " bytes, at most " + std::to_string(limits_.regex) + " are allowed");
         re2::RE2::Options o;
         o.set_log_errors(false);
         o.set_max_mem(static_cast<std::int64_t>(limits_.regex_memory));
@@ -297,7 +330,8 @@
         t.type = type(0);
         return;
       case Call::kToInt:
-        if (type(0) != kUint && type(0) != kDouble && type(0) != kSize && type(0) != kDuration) return wrong();
+        if (type(0) != kUint && type(0) != kDouble && type(0) != kSize && type(0) != kDuration)
+          return wrong();
         t.type = kInt;
         return;
       case Call::kToUint:
@@ -377,14 +411,16 @@
     return static_cast<std::uint8_t>(depth);
   }
 
-  std::size_t put(Code code, std::uint8_t to, Operand a = 0, Operand b = 0, std::size_t index = 0, std::size_t bytes = 0) {
+  std::size_t put(Code code, std::uint8_t to, Operand a = 0, Operand b = 0, std::size_t index = 0,
+                  std::size_t bytes = 0) {
     p_.code.push_back({code, to, a, b, static_cast<std::uint32_t>(index)});
     p_.cost += steps(code, bytes);
     return p_.code.size() - 1;
   }
   void land(std::size_t jump) { p_.code[jump].index = static_cast<std::uint32_t>(p_.code.size()); }
 
-  // Where the value of a part is found: where it stands already, or in register `depth` once its code has run.
+  // Where the value of a part is found: where it stands already, or in register `depth` once its code has
+  // run.
   Operand value(Tree& t, std::size_t depth) {
     if (t.node == Node::kConstant) {
       if (p_.constants.size() >= kIndexMask) {
@@ -411,7 +447,9 @@
     switch (t.node) {
       case Node::kConstant:
       case Node::kField:
-      case Node::kName: put(Code::kMove, to, value(t, depth)); return;
+      case Node::kName:
+        put(Code::kMove, to, value(t, depth));
+        return;
       case Node::kLet: {
         const Operand named = value(*t.args[0], depth);
         lets_at_.push_back(named);
@@ -423,10 +461,13 @@
         return;
       }
       case Node::kUnary:
-        put(t.op == Op::kNot ? Code::kNot : t.type == kDouble ? Code::kNegateDouble : Code::kNegateInt, to,
-            value(*t.args[0], depth));
+        put(t.op == Op::kNot    ? Code::kNot
+            : t.type == kDouble ? Code::kNegateDouble
+                                : Code::kNegateInt,
+            to, value(*t.args[0], depth));
         return;
-      case Node::kBinary: return emit_binary(t, depth, to);
+      case Node::kBinary:
+        return emit_binary(t, depth, to);
       case Node::kCondition: {
         const auto no = put(Code::kJumpIfFalse, 0, value(*t.args[0], depth));
         emit(*t.args[1], depth);
@@ -436,8 +477,10 @@
         land(out);
         return;
       }
-      case Node::kCall: return emit_call(t, depth, to);
-      default: return;  // sets, lists and ranges are part of `in`
+      case Node::kCall:
+        return emit_call(t, depth, to);
+      default:
+        return;  // sets, lists and ranges are part of `in`
     }
   }
 
@@ -466,22 +509,49 @@
           put(pick(Code::kAddInt, Code::kAddUint, Code::kAddDouble), to, ra, rb);
         }
         return;
-      case Op::kSubtract: put(pick(Code::kSubtractInt, Code::kSubtractUint, Code::kSubtractDouble), to, ra, rb); return;
-      case Op::kMultiply: put(pick(Code::kMultiplyInt, Code::kMultiplyUint, Code::kMultiplyDouble), to, ra, rb); return;
-      case Op::kDivide: put(pick(Code::kDivideInt, Code::kDivideUint, Code::kDivideDouble), to, ra, rb); return;
-      case Op::kRemainder: put(pick(Code::kRemainderInt, Code::kRemainderUint, Code::kRemainderUint), to, ra, rb); return;
-      default: break;
+      case Op::kSubtract:
+        put(pick(Code::kSubtractInt, Code::kSubtractUint, Code::kSubtractDouble), to, ra, rb);
+        return;
+      case Op::kMultiply:
+        put(pick(Code::kMultiplyInt, Code::kMultiplyUint, Code::kMultiplyDouble), to, ra, rb);
+        return;
+      case Op::kDivide:
+        put(pick(Code::kDivideInt, Code::kDivideUint, Code::kDivideDouble), to, ra, rb);
+        return;
+      case Op::kRemainder:
+        put(pick(Code::kRemainderInt, Code::kRemainderUint, Code::kRemainderUint), to, ra, rb);
+        return;
+      default:
+        break;
     }
-    const Code less = text(type) ? Code::kLessText : type == kAddress ? Code::kLessAddress : pick(Code::kLessInt, Code::kLessUint, Code::kLessDouble);
-    const Code equal = text(type) ? Code::kEqualText : type == kAddress ? Code::kEqualAddress : type == kDouble ? Code::kEqualDouble : Code::kEqualWord;
+    const Code less = text(type)         ? Code::kLessText
+                      : type == kAddress ? Code::kLessAddress
+                                         : pick(Code::kLessInt, Code::kLessUint, Code::kLessDouble);
+    const Code equal = text(type)         ? Code::kEqualText
+                       : type == kAddress ? Code::kEqualAddress
+                       : type == kDouble  ? Code::kEqualDouble
+                                          : Code::kEqualWord;
     switch (t.op) {
-      case Op::kEqual: put(equal, to, ra, rb, 0, bytes); return;
-      case Op::kUnequal: put(equal, to, ra, rb, 0, bytes); break;
-      case Op::kLess: put(less, to, ra, rb, 0, bytes); return;
-      case Op::kGreater: put(less, to, rb, ra, 0, bytes); return;
-      case Op::kAtMost: put(less, to, rb, ra, 0, bytes); break;
-      case Op::kAtLeast: put(less, to, ra, rb, 0, bytes); break;
-      default: return;
+      case Op::kEqual:
+        put(equal, to, ra, rb, 0, bytes);
+        return;
+      case Op::kUnequal:
+        put(equal, to, ra, rb, 0, bytes);
+        break;
+      case Op::kLess:
+        put(less, to, ra, rb, 0, bytes);
+        return;
+      case Op::kGreater:
+        put(less, to, rb, ra, 0, bytes);
+        return;
+      case Op::kAtMost:
+        put(less, to, rb, ra, 0, bytes);
+        break;
+      case Op::kAtLeast:
+        put(less, to, ra, rb, 0, bytes);
+        break;
+      default:
+        return;
     }
     put(Code::kNot, to, to);
   }
@@ -491,7 +561,10 @@
     Tree& b = *t.args[1];
     if (b.type.shape == Shape::kRange) {
       // Not under the first and not over the second.
-      const Code less = signed_word(a.type) ? Code::kLessInt : unsigned_word(a.type) ? Code::kLessUint : a.type == kDouble ? Code::kLessDouble : Code::kLessAddress;
+      const Code less = signed_word(a.type)     ? Code::kLessInt
+                        : unsigned_word(a.type) ? Code::kLessUint
+                        : a.type == kDouble     ? Code::kLessDouble
+                                                : Code::kLessAddress;
       const std::uint8_t out = reg(depth + 2, t);
       const Operand it = value(a, depth);
       put(less, out, it, value(*b.args[0], depth + 1));
@@ -519,7 +592,10 @@
         p_.own_networks.push_back(std::move(n));
         p_.networks.push_back(nullptr);  // the next of its own
       }
-      put(Code::kInNetworks, to, it, 0, p_.networks.size() - 1, 16 * (1 + static_cast<std::size_t>(std::log2(1.0 + static_cast<double>(b.node == Node::kSet ? sets_.at(b.text).ranges() : b.args.size())))));
+      put(Code::kInNetworks, to, it, 0, p_.networks.size() - 1,
+          16 * (1 + static_cast<std::size_t>(
+                        std::log2(1.0 + static_cast<double>(b.node == Node::kSet ? sets_.at(b.text).ranges()
+                                                                                 : b.args.size())))));
       return;
     }
     if (text(a.type)) {
@@ -562,22 +638,31 @@
     }
     const Type type = t.args[0]->type;
     switch (t.function->call) {
-      case Call::kStartsWith: put(Code::kStartsWith, to, ra, rb, 0, bytes); return;
-      case Call::kEndsWith: put(Code::kEndsWith, to, ra, rb, 0, bytes); return;
-      case Call::kContains: put(Code::kContains, to, ra, rb, 0, 4 * bytes); return;
+      case Call::kStartsWith:
+        put(Code::kStartsWith, to, ra, rb, 0, bytes);
+        return;
+      case Call::kEndsWith:
+        put(Code::kEndsWith, to, ra, rb, 0, bytes);
+        return;
+      case Call::kContains:
+        put(Code::kContains, to, ra, rb, 0, 4 * bytes);
+        return;
       case Call::kMatches: {
         re2::RE2::Options o;
         o.set_log_errors(false);
         o.set_max_mem(static_cast<std::int64_t>(limits_.regex_memory));
         p_.expressions.push_back(std::make_unique<re2::RE2>(t.args[1]->constant.bytes, o));
-        put(Code::kMatches, to, ra, 0, p_.expressions.size() - 1, 8 * bytes + t.args[1]->constant.bytes.size());
+        put(Code::kMatches, to, ra, 0, p_.expressions.size() - 1,
+            8 * bytes + t.args[1]->constant.bytes.size());
         return;
       }
       case Call::kLower:
         p_.scratch += t.most;
         put(Code::kLower, to, ra, 0, 0, bytes);
         return;
-      case Call::kLength: put(Code::kLength, to, ra); return;
+      case Call::kLength:
+        put(Code::kLength, to, ra);
+        return;
       case Call::kHash: {
         std::vector<Type> types;
         for (const auto& a : t.args) types.push_back(a->type);
@@ -587,11 +672,15 @@
       }
       case Call::kMin:
       case Call::kMax: {
-        const Code least = type == kDouble ? Code::kMinDouble : signed_word(type) ? Code::kMinInt : Code::kMinUint;
+        const Code least = type == kDouble     ? Code::kMinDouble
+                           : signed_word(type) ? Code::kMinInt
+                                               : Code::kMinUint;
         put(least, to, ra, rb, t.function->call == Call::kMax ? 1 : 0);
         return;
       }
-      case Call::kAbs: put(type == kDouble ? Code::kAbsDouble : Code::kAbsInt, to, ra); return;
+      case Call::kAbs:
+        put(type == kDouble ? Code::kAbsDouble : Code::kAbsInt, to, ra);
+        return;
       case Call::kToInt:
         if (type == kDuration) return put(Code::kMove, to, ra), void();  // nanoseconds already
         put(type == kDouble ? Code::kIntFromDouble : Code::kIntFromUint, to, ra);
@@ -600,9 +689,14 @@
         if (type == kSize) return put(Code::kMove, to, ra), void();
         put(type == kDouble ? Code::kUintFromDouble : Code::kUintFromInt, to, ra);
         return;
-      case Call::kToDouble: put(type == kInt ? Code::kDoubleFromInt : Code::kDoubleFromUint, to, ra); return;
-      case Call::kSeconds: put(Code::kSeconds, to, ra); return;
-      default: return;
+      case Call::kToDouble:
+        put(type == kInt ? Code::kDoubleFromInt : Code::kDoubleFromUint, to, ra);
+        return;
+      case Call::kSeconds:
+        put(Code::kSeconds, to, ra);
+        return;
+      default:
+        return;
     }
   }
 
@@ -618,8 +712,8 @@
 
 }  // namespace
 
-std::optional<Program> compile(Tree& tree, const NetworkSets& sets, const Limits& limits, std::optional<Type> wanted,
-                               std::vector<Fault>& faults) {
+std::optional<Program> compile(Tree& tree, const NetworkSets& sets, const Limits& limits,
+                               std::optional<Type> wanted, std::vector<Fault>& faults) {
   auto p = Compiler(sets, limits, faults, false).run(tree, wanted);
   if (!p) return p;
   if (const std::string why = verify(*p); !why.empty()) {
@@ -652,14 +746,18 @@
     const auto read = [&](Operand o) {
       const std::size_t index = o & kIndexMask;
       switch (static_cast<Home>(o >> kHomeShift)) {
-        case Home::kRegister: return index < p.registers && written[index];
-        case Home::kConstant: return index < p.constants.size();
-        case Home::kField: return index < kFields;
+        case Home::kRegister:
+          return index < p.registers && written[index];
+        case Home::kConstant:
+          return index < p.constants.size();
+        case Home::kField:
+          return index < kFields;
       }
       return false;
     };
     if (in.code > Code::kSeconds) return "an unknown instruction" + at;
-    if (jumps(in.code) && (in.index <= i || in.index > p.code.size())) return "a jump that is not forward" + at;
+    if (jumps(in.code) && (in.index <= i || in.index > p.code.size()))
+      return "a jump that is not forward" + at;
     if (in.code == Code::kInWords      ? in.index >= p.words.size()
         : in.code == Code::kInTexts    ? in.index >= p.texts.size()
         : in.code == Code::kInNetworks ? in.index >= p.networks.size()
@@ -678,9 +776,12 @@
     const auto inside = [&](Operand o) {
       const std::size_t index = o & kIndexMask;
       const auto home = static_cast<Home>(o >> kHomeShift);
-      return home == Home::kRegister ? index < 256 : home == Home::kConstant ? index < p.constants.size() : index < kFields;
+      return home == Home::kRegister   ? index < 256
+             : home == Home::kConstant ? index < p.constants.size()
+                                       : index < kFields;
     };
-    if (!inside(in.a) || !inside(in.b) || (in.a >> kHomeShift) > 2 || (in.b >> kHomeShift) > 2) return "an operand out of range" + at;
+    if (!inside(in.a) || !inside(in.b) || (in.a >> kHomeShift) > 2 || (in.b >> kHomeShift) > 2)
+      return "an operand out of range" + at;
     if (jumps(in.code)) {
       lead(in.index, written);
       if (in.code != Code::kJump) lead(i + 1, written);
--- a/src/expr/define.cpp
+++ b/src/expr/define.cpp
@@ -33,7 +33,8 @@
                       const Limits& limits, std::vector<Fault>& faults) {
   const std::size_t before = faults.size();
   std::vector<Fault> ignored;
-  const auto let = parse("let " + name + " = true; true", limits, ignored);  // where a let may not, it may not either
+  const auto let =
+      parse("let " + name + " = true; true", limits, ignored);  // where a let may not, it may not either
   if (!let || let->node != Node::kLet || let->text != name) {
     faults.push_back({{}, "'" + name + "' is no name for a definition, or is taken"});
   } else if (known_.contains(name)) {
@@ -51,7 +52,8 @@
   return true;
 }
 
-bool Definitions::expand(std::unique_ptr<Tree>& tree, const Limits& limits, std::vector<Fault>& faults) const {
+bool Definitions::expand(std::unique_ptr<Tree>& tree, const Limits& limits,
+                         std::vector<Fault>& faults) const {
   std::vector<std::string> lets;
   std::size_t nodes = nodes_of(*tree);
   return expand(tree, lets, limits, nodes, faults);
@@ -65,7 +67,8 @@
     // Danger: definitions that use each other twice double at each step.
     nodes += d->second.nodes;
     if (nodes > limits.nodes) {
-      faults.push_back({t->place, "with '" + t->text + "' written out it has over " + std::to_string(limits.nodes) + " parts"});
+      faults.push_back({t->place, "with '" + t->text + "' written out it has over " +
+                                      std::to_string(limits.nodes) + " parts"});
       return false;
     }
     t = copy(*d->second.tree, t->place);
--- a/src/expr/define.h
+++ b/src/expr/define.h
@@ -1,5 +1,6 @@
-// Named definitions that all rules of a set share. A definition stands for its expression: it is put in the place of
-// its name before types are checked, so that it costs what it would cost there, and the set finds equal parts again.
+// Named definitions that all rules of a set share. A definition stands for its expression: it is put in the
+// place of its name before types are checked, so that it costs what it would cost there, and the set finds
+// equal parts again.
 #pragma once
 
 #include <map>
@@ -19,8 +20,8 @@
   bool expand(std::unique_ptr<Tree>& tree, const Limits& limits, std::vector<Fault>& faults) const;
 
  private:
-  bool expand(std::unique_ptr<Tree>& tree, std::vector<std::string>& lets, const Limits& limits, std::size_t& nodes,
-              std::vector<Fault>& faults) const;
+  bool expand(std::unique_ptr<Tree>& tree, std::vector<std::string>& lets, const Limits& limits,
+              std::size_t& nodes, std::vector<Fault>& faults) const;
 
   struct Known {
     std::unique_ptr<Tree> tree;
--- a/src/expr/gate.cpp
+++ b/src/expr/gate.cpp
@@ -7,7 +7,8 @@
 
 void Gate::Window::add(double now) {
   const auto second = static_cast<std::int64_t>(std::floor(now));
-  const auto slot = static_cast<std::size_t>(((second % static_cast<std::int64_t>(kSlots)) + kSlots) % kSlots);
+  const auto slot =
+      static_cast<std::size_t>(((second % static_cast<std::int64_t>(kSlots)) + kSlots) % kSlots);
   if (seconds[slot] != second) counts[slot] = 0;
   seconds[slot] = second;
   counts[slot] += 1;
@@ -31,8 +32,9 @@
 
 void Gate::landed(double now) { all_.add(now); }
 
-// Danger: a rule that is wider than its author thought marks everything, and a profile for the few, or a turn-back,
-// falls on all. Its share bounds that. May hurt where traffic is so little that chance alone passes the share.
+// Danger: a rule that is wider than its author thought marks everything, and a profile for the few, or a
+// turn-back, falls on all. Its share bounds that. May hurt where traffic is so little that chance alone
+// passes the share.
 bool Gate::passes(double now, int rule) {
   State& s = rules_[static_cast<std::size_t>(rule)];
   if (s.most_share < 1 && s.window.sum(now) + 1 > kFree + s.most_share * all_.sum(now)) {
--- a/src/expr/gate.h
+++ b/src/expr/gate.h
@@ -1,7 +1,7 @@
 // Whether a rule that holds may mark one more transaction: decisions only, no clock.
 //
-// How to call it: `landed` once for each transaction, then `passes` for each rule that holds, until one does. A
-// rule over its share does not match, and the next ones are asked.
+// How to call it: `landed` once for each transaction, then `passes` for each rule that holds, until one does.
+// A rule over its share does not match, and the next ones are asked.
 #pragma once
 
 #include <array>
@@ -22,7 +22,8 @@
 
  private:
   static constexpr std::size_t kSlots = 10;  // of one second each: the window that a share is taken over
-  static constexpr double kFree = 5;         // transactions that a rule may always mark in a window: few make no share
+  static constexpr double kFree =
+      5;  // transactions that a rule may always mark in a window: few make no share
 
   struct Window {
     std::array<double, kSlots> counts{};
--- a/src/expr/machine.cpp
+++ b/src/expr/machine.cpp
@@ -13,29 +13,74 @@
 
 constexpr std::size_t kBytesOfStep = 32;  // bytes of text that one step looks at
 
-constexpr const char* kCodeNames[] = {
-    "move", "not", "negate.int", "negate.double", "add.int", "add.uint", "add.double", "join",
-    "subtract.int", "subtract.uint", "subtract.double", "multiply.int", "multiply.uint", "multiply.double",
-    "divide.int", "divide.uint", "divide.double", "remainder.int", "remainder.uint", "equal.word", "equal.double",
-    "equal.text", "equal.address", "less.int", "less.uint", "less.double", "less.text", "less.address", "in.words",
-    "in.texts", "in.networks", "jump", "jump.if_false", "jump.if_true", "starts_with", "ends_with", "contains",
-    "matches", "lower", "size", "hash", "min.int", "min.uint", "min.double", "abs.int", "abs.double",
-    "int.from_uint", "int.from_double", "uint.from_int", "uint.from_double", "double.from_int", "double.from_uint",
-    "seconds"};
+constexpr const char* kCodeNames[] = {"move",
+                                      "not",
+                                      "negate.int",
+                                      "negate.double",
+                                      "add.int",
+                                      "add.uint",
+                                      "add.double",
+                                      "join",
+                                      "subtract.int",
+                                      "subtract.uint",
+                                      "subtract.double",
+                                      "multiply.int",
+                                      "multiply.uint",
+                                      "multiply.double",
+                                      "divide.int",
+                                      "divide.uint",
+                                      "divide.double",
+                                      "remainder.int",
+                                      "remainder.uint",
+                                      "equal.word",
+                                      "equal.double",
+                                      "equal.text",
+                                      "equal.address",
+                                      "less.int",
+                                      "less.uint",
+                                      "less.double",
+                                      "less.text",
+                                      "less.address",
+                                      "in.words",
+                                      "in.texts",
+                                      "in.networks",
+                                      "jump",
+                                      "jump.if_false",
+                                      "jump.if_true",
+                                      "starts_with",
+                                      "ends_with",
+                                      "contains",
+                                      "matches",
+                                      "lower",
+                                      "size",
+                                      "hash",
+                                      "min.int",
+                                      "min.uint",
+                                      "min.double",
+                                      "abs.int",
+                                      "abs.double",
+                                      "int.from_uint",
+                                      "int.from_double",
+                                      "uint.from_int",
+                                      "uint.from_double",
+                                      "double.from_int",
+                                      "double.from_uint",
+                                      "seconds"};
 static_assert(std::size(kCodeNames) == static_cast<std::size_t>(Code::kSeconds) + 1);
 
 }  // namespace
 
 const char* name(Failure f) {
-  static constexpr const char* kNames[] = {"none", "overflow", "division by zero", "conversion that loses", "not finite"};
+  static constexpr const char* kNames[] = {"none", "overflow", "division by zero", "conversion that loses",
+                                           "not finite"};
   return kNames[static_cast<std::size_t>(f)];
 }
 
 bool jumps(Code c) { return c == Code::kJump || c == Code::kJumpIfFalse || c == Code::kJumpIfTrue; }
 
 bool reads_two(Code c) {
-  return (c >= Code::kAddInt && c <= Code::kLessAddress) || (c >= Code::kStartsWith && c <= Code::kContains) ||
-         (c >= Code::kMinInt && c <= Code::kMinDouble);
+  return (c >= Code::kAddInt && c <= Code::kLessAddress) ||
+         (c >= Code::kStartsWith && c <= Code::kContains) || (c >= Code::kMinInt && c <= Code::kMinDouble);
 }
 
 std::uint64_t steps(Code, std::size_t bytes) { return 1 + (bytes + kBytesOfStep - 1) / kBytesOfStep; }
@@ -44,9 +89,12 @@
   const auto shown = [&](Operand o) {
     const std::size_t index = o & kIndexMask;
     switch (static_cast<Home>(o >> kHomeShift)) {
-      case Home::kRegister: return "r" + std::to_string(index);
-      case Home::kConstant: return constants[index].text();
-      case Home::kField: return std::string(fields()[index].name);
+      case Home::kRegister:
+        return "r" + std::to_string(index);
+      case Home::kConstant:
+        return constants[index].text();
+      case Home::kField:
+        return std::string(fields()[index].name);
     }
     return std::string();
   };
@@ -59,15 +107,17 @@
     if (jumps(in.code)) {
       out += (in.code == Code::kJump ? "" : " " + shown(in.a)) + " to " + std::to_string(in.index);
     } else {
-      out += " r" + std::to_string(in.to) + " = " + shown(in.a) + (reads_two(in.code) ? ", " + shown(in.b) : "");
+      out +=
+          " r" + std::to_string(in.to) + " = " + shown(in.a) + (reads_two(in.code) ? ", " + shown(in.b) : "");
     }
     out += "\n";
   }
   return out;
 }
 
-// Written down, and the same in every version: for each argument one byte of its type's number, 8 bytes of its
-// length in little endian, then its bytes (words little endian, addresses in network order); XXH3 64 bits, seed 0.
+// Written down, and the same in every version: for each argument one byte of its type's number, 8 bytes of
+// its length in little endian, then its bytes (words little endian, addresses in network order); XXH3 64
+// bits, seed 0.
 std::uint64_t hash_of(const std::vector<Type>& types, const Value* values) {
   XXH3_state_t state;
   XXH3_64bits_reset(&state);
@@ -114,13 +164,19 @@
     Value& to = r[in.to];
     ++steps.count;
     switch (in.code) {
-      case Code::kMove: to = a; break;
-      case Code::kNot: to = Value(!a.b); break;
+      case Code::kMove:
+        to = a;
+        break;
+      case Code::kNot:
+        to = Value(!a.b);
+        break;
       case Code::kNegateInt:
         if (a.i == INT64_MIN) return Failure::kOverflow;
         to = Value(-a.i);
         break;
-      case Code::kNegateDouble: to = Value(-a.d); break;
+      case Code::kNegateDouble:
+        to = Value(-a.d);
+        break;
       case Code::kAddInt: {
         std::int64_t v = 0;
         if (__builtin_add_overflow(a.i, b.i, &v)) return Failure::kOverflow;
@@ -198,28 +254,48 @@
         to = Value(std::string_view(at, a.s.size + b.s.size));
         break;
       }
-      case Code::kEqualWord: to = Value(a.u == b.u); break;
-      case Code::kEqualDouble: to = Value(a.d == b.d); break;
+      case Code::kEqualWord:
+        to = Value(a.u == b.u);
+        break;
+      case Code::kEqualDouble:
+        to = Value(a.d == b.d);
+        break;
       case Code::kEqualText:
         spend(std::min(a.s.size, b.s.size));
         to = Value(a.s.view() == b.s.view());
         break;
-      case Code::kEqualAddress: to = Value(a.a == b.a); break;
-      case Code::kLessInt: to = Value(a.i < b.i); break;
-      case Code::kLessUint: to = Value(a.u < b.u); break;
-      case Code::kLessDouble: to = Value(a.d < b.d); break;
+      case Code::kEqualAddress:
+        to = Value(a.a == b.a);
+        break;
+      case Code::kLessInt:
+        to = Value(a.i < b.i);
+        break;
+      case Code::kLessUint:
+        to = Value(a.u < b.u);
+        break;
+      case Code::kLessDouble:
+        to = Value(a.d < b.d);
+        break;
       case Code::kLessText:
         spend(std::min(a.s.size, b.s.size));
         to = Value(a.s.view() < b.s.view());
         break;
-      case Code::kLessAddress: to = Value(a.a < b.a); break;
-      case Code::kInWords: to = Value(p.words[in.index].contains(a.u)); break;
+      case Code::kLessAddress:
+        to = Value(a.a < b.a);
+        break;
+      case Code::kInWords:
+        to = Value(p.words[in.index].contains(a.u));
+        break;
       case Code::kInTexts:
         spend(a.s.size);
         to = Value(p.texts[in.index].contains(a.s.view()));
         break;
-      case Code::kInNetworks: to = Value(p.networks[in.index]->contains(a.a)); break;
-      case Code::kJump: i = in.index - 1; break;
+      case Code::kInNetworks:
+        to = Value(p.networks[in.index]->contains(a.a));
+        break;
+      case Code::kJump:
+        i = in.index - 1;
+        break;
       case Code::kJumpIfFalse:
         if (!a.b) i = in.index - 1;
         break;
@@ -253,7 +329,9 @@
         to = Value(std::string_view(at, a.s.size));
         break;
       }
-      case Code::kLength: to = Value(static_cast<std::uint64_t>(a.s.size)); break;
+      case Code::kLength:
+        to = Value(static_cast<std::uint64_t>(a.s.size));
+        break;
       case Code::kHash: {
         const auto& types = p.hashed[in.index];
         for (std::size_t k = 0; k < types.size(); ++k) {
@@ -262,14 +340,22 @@
         to = Value(hash_of(types, &r[in.a]));
         break;
       }
-      case Code::kMinInt: to = in.index == 1 ? Value(std::max(a.i, b.i)) : Value(std::min(a.i, b.i)); break;
-      case Code::kMinUint: to = in.index == 1 ? Value(std::max(a.u, b.u)) : Value(std::min(a.u, b.u)); break;
-      case Code::kMinDouble: to = in.index == 1 ? Value(std::max(a.d, b.d)) : Value(std::min(a.d, b.d)); break;
+      case Code::kMinInt:
+        to = in.index == 1 ? Value(std::max(a.i, b.i)) : Value(std::min(a.i, b.i));
+        break;
+      case Code::kMinUint:
+        to = in.index == 1 ? Value(std::max(a.u, b.u)) : Value(std::min(a.u, b.u));
+        break;
+      case Code::kMinDouble:
+        to = in.index == 1 ? Value(std::max(a.d, b.d)) : Value(std::min(a.d, b.d));
+        break;
       case Code::kAbsInt:
         if (a.i == INT64_MIN) return Failure::kOverflow;
         to = Value(a.i < 0 ? -a.i : a.i);
         break;
-      case Code::kAbsDouble: to = Value(std::fabs(a.d)); break;
+      case Code::kAbsDouble:
+        to = Value(std::fabs(a.d));
+        break;
       case Code::kIntFromUint:
         if (a.u > INT64_MAX) return Failure::kConversion;
         to = Value(static_cast<std::int64_t>(a.u));
@@ -298,7 +384,9 @@
         to = Value(d);
         break;
       }
-      case Code::kSeconds: to = Value(static_cast<double>(a.i) / 1e9); break;
+      case Code::kSeconds:
+        to = Value(static_cast<double>(a.i) / 1e9);
+        break;
     }
   }
   result = r[0];
--- a/src/expr/networks.cpp
+++ b/src/expr/networks.cpp
@@ -30,7 +30,10 @@
     } else if (const auto a = parse_address(entries[i])) {
       n = std::pair{*a, std::uint8_t{128}};
     }
-    if (!n) return reason = "entry " + std::to_string(i + 1) + ", '" + entries[i] + "', is no address and no network", false;
+    if (!n)
+      return reason =
+                 "entry " + std::to_string(i + 1) + ", '" + entries[i] + "', is no address and no network",
+             false;
     const Number from = number(n->first);
     Number last = from;
     const int free = 128 - n->second;
--- a/src/expr/program.h
+++ b/src/expr/program.h
@@ -1,5 +1,5 @@
-// Checked, compiled and run. A program is flat, jumps forward only and is verified before it may run, so its cost
-// is the sum of its instructions' at most. docs/expressions.md has the steps.
+// Checked, compiled and run. A program is flat, jumps forward only and is verified before it may run, so its
+// cost is the sum of its instructions' at most. docs/expressions.md has the steps.
 #pragma once
 
 #include <re2/re2.h>
@@ -16,13 +16,59 @@
 const char* name(Failure failure);
 
 enum class Code : std::uint8_t {
-  kMove, kNot, kNegateInt, kNegateDouble,
-  kAddInt, kAddUint, kAddDouble, kJoin, kSubtractInt, kSubtractUint, kSubtractDouble,
-  kMultiplyInt, kMultiplyUint, kMultiplyDouble, kDivideInt, kDivideUint, kDivideDouble, kRemainderInt, kRemainderUint,
-  kEqualWord, kEqualDouble, kEqualText, kEqualAddress, kLessInt, kLessUint, kLessDouble, kLessText, kLessAddress,
-  kInWords, kInTexts, kInNetworks, kJump, kJumpIfFalse, kJumpIfTrue,
-  kStartsWith, kEndsWith, kContains, kMatches, kLower, kLength, kHash, kMinInt, kMinUint, kMinDouble, kAbsInt,
-  kAbsDouble, kIntFromUint, kIntFromDouble, kUintFromInt, kUintFromDouble, kDoubleFromInt, kDoubleFromUint, kSeconds,
+  kMove,
+  kNot,
+  kNegateInt,
+  kNegateDouble,
+  kAddInt,
+  kAddUint,
+  kAddDouble,
+  kJoin,
+  kSubtractInt,
+  kSubtractUint,
+  kSubtractDouble,
+  kMultiplyInt,
+  kMultiplyUint,
+  kMultiplyDouble,
+  kDivideInt,
+  kDivideUint,
+  kDivideDouble,
+  kRemainderInt,
+  kRemainderUint,
+  kEqualWord,
+  kEqualDouble,
+  kEqualText,
+  kEqualAddress,
+  kLessInt,
+  kLessUint,
+  kLessDouble,
+  kLessText,
+  kLessAddress,
+  kInWords,
+  kInTexts,
+  kInNetworks,
+  kJump,
+  kJumpIfFalse,
+  kJumpIfTrue,
+  kStartsWith,
+  kEndsWith,
+  kContains,
+  kMatches,
+  kLower,
+  kLength,
+  kHash,
+  kMinInt,
+  kMinUint,
+  kMinDouble,
+  kAbsInt,
+  kAbsDouble,
+  kIntFromUint,
+  kIntFromDouble,
+  kUintFromInt,
+  kUintFromDouble,
+  kDoubleFromInt,
+  kDoubleFromUint,
+  kSeconds,
 };
 
 // What an instruction reads: a register, a constant or a field of the transaction, so that these need no
--- a/src/expr/rules.cpp
+++ b/src/expr/rules.cpp
@@ -34,7 +34,8 @@
   const Tree* other = t.args[1].get();
   if (t.op == Op::kEqual && field->node == Node::kConstant) std::swap(field, other);
   if (field->node != Node::kField || !indexable(field->type)) return std::nullopt;
-  if (t.op == Op::kEqual && other->node == Node::kConstant) return Demand{field->field, {&other->constant}, part};
+  if (t.op == Op::kEqual && other->node == Node::kConstant)
+    return Demand{field->field, {&other->constant}, part};
   if (t.op != Op::kIn || other->node != Node::kList) return std::nullopt;
   Demand d{field->field, {}, part};
   for (const auto& a : other->args) d.values.push_back(&a->constant);
@@ -48,7 +49,11 @@
                                      const std::vector<bool>& ordered, std::vector<RuleFault>& faults) {
   const std::size_t before = faults.size();
   if (sources.size() > budget.rules) {
-    faults.push_back({0, "", {{}, std::to_string(sources.size()) + " rules, at most " + std::to_string(budget.rules) + " are allowed"}});
+    faults.push_back({0,
+                      "",
+                      {{},
+                       std::to_string(sources.size()) + " rules, at most " + std::to_string(budget.rules) +
+                           " are allowed"}});
     return std::nullopt;
   }
   RuleSet set;
@@ -61,7 +66,8 @@
     r.turn_back = s.turn_back;
     r.most_share = s.most_share;
     r.labels = s.labels;
-    const auto compiled = [&](const std::string& source, const char* field, Type type, std::unique_ptr<Tree>& tree) {
+    const auto compiled = [&](const std::string& source, const char* field, Type type,
+                              std::unique_ptr<Tree>& tree) {
       std::vector<Fault> here;
       std::optional<Program> p;
       tree = parse(source, limits, here);
@@ -76,7 +82,11 @@
       r.key = compiled(s.key, "key", kUint, own);
       // Danger: a client's repeat with another key would pass what it must wait for.
       if (r.key && !r.key->stable && s.profile >= 0 && ordered[static_cast<std::size_t>(s.profile)]) {
-        faults.push_back({i, "key", {{}, "the key of a profile in order must be the same for every try; it reads a field that is not"}});
+        faults.push_back(
+            {i,
+             "key",
+             {{},
+              "the key of a profile in order must be the same for every try; it reads a field that is not"}});
       }
       if (r.key) set.cost_ += r.key->cost;
     }
@@ -88,7 +98,11 @@
     r.cost = when->cost;
     r.stable = when->stable;
     if (r.key && !r.stable && s.profile >= 0 && ordered[static_cast<std::size_t>(s.profile)]) {
-      faults.push_back({i, "when", {{}, "a rule that gives the key of a profile in order must hold for every try or none; it reads a field that may change"}});
+      faults.push_back({i,
+                        "when",
+                        {{},
+                         "a rule that gives the key of a profile in order must hold for every try or none; "
+                         "it reads a field that may change"}});
     }
     set.rules_.push_back(std::move(r));
     trees.push_back(std::move(tree));
@@ -113,9 +127,9 @@
     }
   }
 
-  // Each rule goes by the demand that tells it best from the others: the one whose values the fewest rules demand;
-  // among equals, of the field that most rules name, so that few look-ups find nearly all. What the look-up proves
-  // need not be worked out again.
+  // Each rule goes by the demand that tells it best from the others: the one whose values the fewest rules
+  // demand; among equals, of the field that most rules name, so that few look-ups find nearly all. What the
+  // look-up proves need not be worked out again.
   const auto value_of = [](int field, const Constant& c) {
     return std::to_string(field) + (c.type == kString ? "'" + c.bytes : "=" + std::to_string(c.value.u));
   };
@@ -140,7 +154,8 @@
     const auto best = std::min_element(all[i].begin(), all[i].end(), [&](const Demand& a, const Demand& b) {
       const std::size_t ca = crowd(a);
       const std::size_t cb = crowd(b);
-      return ca != cb ? ca < cb : asked[static_cast<std::size_t>(a.field)] > asked[static_cast<std::size_t>(b.field)];
+      return ca != cb ? ca < cb
+                      : asked[static_cast<std::size_t>(a.field)] > asked[static_cast<std::size_t>(b.field)];
     });
     if (best == all[i].end()) {
       each.push_back(static_cast<std::uint32_t>(i));
@@ -203,7 +218,11 @@
     if (!close()) return std::nullopt;
   }
   if (set.cost_ > budget.cost) {
-    faults.push_back({0, "", {{}, "all rules together may cost " + std::to_string(set.cost_) + " steps, at most " + std::to_string(budget.cost) + " are allowed"}});
+    faults.push_back({0,
+                      "",
+                      {{},
+                       "all rules together may cost " + std::to_string(set.cost_) + " steps, at most " +
+                           std::to_string(budget.cost) + " are allowed"}});
     return std::nullopt;
   }
   return set;
@@ -232,7 +251,8 @@
   std::size_t count = 0;
   const auto add = [&](Stretch s) {
     const std::uint32_t* const end = candidates_.data() + s.to;
-    const std::uint32_t* const at = std::lower_bound(candidates_.data() + s.from, end, static_cast<std::uint32_t>(from));
+    const std::uint32_t* const at =
+        std::lower_bound(candidates_.data() + s.from, end, static_cast<std::uint32_t>(from));
     if (at != end) lists[count++] = {at, end};
   };
   if (each_.to > 0) add(each_);
@@ -254,7 +274,8 @@
     if (lists[least].first == lists[least].second) lists[least] = lists[--count];
     Failure failure = Failure::kNone;
     const auto& parts = rules_[rule].parts;
-    if (std::all_of(parts.begin(), parts.end(), [&](std::uint32_t p) { return holds(parts_[p], machine, record, failure); })) {
+    if (std::all_of(parts.begin(), parts.end(),
+                    [&](std::uint32_t p) { return holds(parts_[p], machine, record, failure); })) {
       m.rule = static_cast<int>(rule);
       return m;
     }
--- a/src/expr/rules.h
+++ b/src/expr/rules.h
@@ -48,17 +48,16 @@
     std::uint64_t cost = 400000;  // steps of all programs together; a shared part counts once
   };
 
-  // Nothing half done: all faults of all rules, or a set. `ordered(profile)`: whether a profile keeps order; the key
-  // of its transactions must be the same for every try.
+  // Nothing half done: all faults of all rules, or a set. `ordered(profile)`: whether a profile keeps order;
+  // the key of its transactions must be the same for every try.
   static std::optional<RuleSet> make(const std::vector<RuleSource>& sources, const Definitions& definitions,
-                                     const NetworkSets& sets,
-                                     const Limits& limits, const Budget& budget, const std::vector<bool>& ordered,
-                                     std::vector<RuleFault>& faults);
+                                     const NetworkSets& sets, const Limits& limits, const Budget& budget,
+                                     const std::vector<bool>& ordered, std::vector<RuleFault>& faults);
 
   struct Match {
-    int rule = -1;      // -1: none
-    int failures = 0;   // rules that did not match because their evaluation failed
-    int failed = -1;    // the last of them
+    int rule = -1;     // -1: none
+    int failures = 0;  // rules that did not match because their evaluation failed
+    int failed = -1;   // the last of them
     Failure failure = Failure::kNone;
   };
   // The first rule from number `from` on.
--- a/src/expr/schema.cpp
+++ b/src/expr/schema.cpp
@@ -25,8 +25,10 @@
 static_assert(std::size(kFieldTable) == kFields);
 
 constexpr Function kFunctionTable[] = {
-    {"starts_with", Call::kStartsWith, "starts_with(string, string) -> bool", 2, 2, "the first begins with the second"},
-    {"ends_with", Call::kEndsWith, "ends_with(string, string) -> bool", 2, 2, "the first ends with the second"},
+    {"starts_with", Call::kStartsWith, "starts_with(string, string) -> bool", 2, 2,
+     "the first begins with the second"},
+    {"ends_with", Call::kEndsWith, "ends_with(string, string) -> bool", 2, 2,
+     "the first ends with the second"},
     {"contains", Call::kContains, "contains(string, string) -> bool", 2, 2, "the second stands in the first"},
     {"matches", Call::kMatches, "matches(string, literal) -> bool", 2, 2,
      "the regular expression (RE2) matches somewhere in the string"},
@@ -36,14 +38,17 @@
      "64 bits of XXH3 over type and bytes of each argument; the same in every version"},
     {"min", Call::kMin, "min(T, T) -> T", 2, 2, "the lesser of two numbers, durations or sizes"},
     {"max", Call::kMax, "max(T, T) -> T", 2, 2, "the greater"},
-    {"abs", Call::kAbs, "abs(int, double or duration) -> same", 1, 1, "without sign; an error for the least int"},
+    {"abs", Call::kAbs, "abs(int, double or duration) -> same", 1, 1,
+     "without sign; an error for the least int"},
     {"int", Call::kToInt, "int(uint, double, size or duration) -> int", 1, 1,
      "an error if it does not fit or has a fraction; a duration gives nanoseconds"},
-    {"uint", Call::kToUint, "uint(int, double or size) -> uint", 1, 1, "an error if it does not fit or has a fraction"},
+    {"uint", Call::kToUint, "uint(int, double or size) -> uint", 1, 1,
+     "an error if it does not fit or has a fraction"},
     {"double", Call::kToDouble, "double(int or uint) -> double", 1, 1, "an error if it would lose digits"},
     {"seconds", Call::kSeconds, "seconds(duration) -> double", 1, 1, "as a number"},
     {"ip", Call::kToAddress, "ip(literal) -> address", 1, 1, "an IPv4 or IPv6 address"},
-    {"net", Call::kToNetwork, "net(literal) -> network", 1, 1, "a network in prefix form, such as 10.0.0.0/8"},
+    {"net", Call::kToNetwork, "net(literal) -> network", 1, 1,
+     "a network in prefix form, such as 10.0.0.0/8"},
 };
 
 constexpr std::string_view kWords[] = {"true", "false", "in", "let", "not"};
@@ -76,9 +81,12 @@
 }
 
 std::string reference() {
-  std::string out = "## Fields of a transaction\n\n| field | type | the same for every try | what |\n| --- | --- | --- | --- |\n";
+  std::string out =
+      "## Fields of a transaction\n\n| field | type | the same for every try | what |\n| --- | --- | --- | "
+      "--- |\n";
   for (const Field& f : kFieldTable) {
-    out += std::string("| `") + f.name + "` | " + f.type.text() + " | " + (f.stable ? "yes" : "no") + " | " + f.doc + " |\n";
+    out += std::string("| `") + f.name + "` | " + f.type.text() + " | " + (f.stable ? "yes" : "no") + " | " +
+           f.doc + " |\n";
   }
   out += "\n## Functions\n\n| function | what |\n| --- | --- |\n";
   for (const Function& f : kFunctionTable) out += std::string("| `") + f.signature + "` | " + f.doc + " |\n";
--- a/src/expr/schema.h
+++ b/src/expr/schema.h
@@ -27,13 +27,39 @@
 };
 
 enum class FieldId : std::uint8_t {
-  kVolume, kPlan, kOperation, kOpcode, kLba, kBlocks, kLength, kLabel, kClientName, kClientAddress, kTry, kHour,
-  kWeekday, kTimeOfDay,
+  kVolume,
+  kPlan,
+  kOperation,
+  kOpcode,
+  kLba,
+  kBlocks,
+  kLength,
+  kLabel,
+  kClientName,
+  kClientAddress,
+  kTry,
+  kHour,
+  kWeekday,
+  kTimeOfDay,
 };
 
 enum class Call : std::uint8_t {
-  kStartsWith, kEndsWith, kContains, kMatches, kLower, kLength, kHash, kMin, kMax, kAbs, kToInt, kToUint, kToDouble,
-  kSeconds, kToAddress, kToNetwork,
+  kStartsWith,
+  kEndsWith,
+  kContains,
+  kMatches,
+  kLower,
+  kLength,
+  kHash,
+  kMin,
+  kMax,
+  kAbs,
+  kToInt,
+  kToUint,
+  kToDouble,
+  kSeconds,
+  kToAddress,
+  kToNetwork,
 };
 
 struct Function {
--- a/src/expr/syntax.cpp
+++ b/src/expr/syntax.cpp
@@ -30,7 +30,11 @@
 std::optional<std::size_t> not_utf8(std::string_view s) {
   for (std::size_t i = 0; i < s.size();) {
     const auto c = static_cast<unsigned char>(s[i]);
-    std::size_t n = c < 0x80 ? 1 : c >= 0xc2 && c <= 0xdf ? 2 : (c & 0xf0) == 0xe0 ? 3 : c >= 0xf0 && c <= 0xf4 ? 4 : 0;
+    std::size_t n = c < 0x80                 ? 1
+                    : c >= 0xc2 && c <= 0xdf ? 2
+                    : (c & 0xf0) == 0xe0     ? 3
+                    : c >= 0xf0 && c <= 0xf4 ? 4
+                                             : 0;
     if (n == 0 || c == 0 || i + n > s.size()) return i;
     std::uint32_t code = n == 1 ? c : c & (0xff >> (n + 1));
     for (std::size_t k = 1; k < n; ++k) {
@@ -38,7 +42,8 @@
       if ((d & 0xc0) != 0x80) return i;
       code = code << 6 | (d & 0x3f);
     }
-    if ((n == 3 && (code < 0x800 || (code >= 0xd800 && code < 0xe000))) || (n == 4 && (code < 0x10000 || code > 0x10ffff)))
+    if ((n == 3 && (code < 0x800 || (code >= 0xd800 && code < 0xe000))) ||
+        (n == 4 && (code < 0x10000 || code > 0x10ffff)))
       return i;
     i += n;
   }
@@ -74,16 +79,17 @@
       if (l.text.empty()) fault(l.place, "a name of a set is expected after $"), l.token = Token::kBad;
       return l;
     }
-    for (const char* sign : {"||", "&&", "==", "!=", "<=", ">=", "..", "<", ">", "+", "-", "*", "/", "%", "!", "?", ":",
-                             "(", ")", "[", "]", ",", ";", "="}) {
+    for (const char* sign : {"||", "&&", "==", "!=", "<=", ">=", "..", "<", ">", "+", "-", "*",
+                             "/",  "%",  "!",  "?",  ":",  "(",  ")",  "[", "]", ",", ";", "="}) {
       if (source_.substr(at_, std::strlen(sign)) != sign) continue;
       at_ += std::strlen(sign);
       l.token = Token::kSign;
       l.text = sign;
       return l;
     }
-    fault(l.place, c == '&' || c == '|' ? std::string("a single '") + c + "' is no operator; did you mean " + c + c + "?"
-                                        : "a character that has no place here");
+    fault(l.place, c == '&' || c == '|'
+                       ? std::string("a single '") + c + "' is no operator; did you mean " + c + c + "?"
+                       : "a character that has no place here");
     ++at_;
     l.token = Token::kBad;
     return l;
@@ -100,8 +106,9 @@
 
   Lexeme word(Lexeme l) {
     const std::size_t from = at_;
-    while (at_ < source_.size() && (name_part(source_[at_]) || (source_[at_] == '.' && at_ + 1 < source_.size() &&
-                                                                name_start(source_[at_ + 1]))))
+    while (at_ < source_.size() &&
+           (name_part(source_[at_]) ||
+            (source_[at_] == '.' && at_ + 1 < source_.size() && name_start(source_[at_ + 1]))))
       ++at_;
     l.text = source_.substr(from, at_ - from);
     l.token = Token::kName;
@@ -137,7 +144,8 @@
     if (fraction) {
       double d = 0;
       const auto end = digits.data() + digits.size();
-      if (std::from_chars(digits.data(), end, d).ec != std::errc()) return bad(l, "a number that is too large");
+      if (std::from_chars(digits.data(), end, d).ec != std::errc())
+        return bad(l, "a number that is too large");
       if (!unit.empty()) return bad(l, "a fraction has no unit; write the next smaller one");
       c.type = kDouble;
       c.value = Value(d);
@@ -150,8 +158,8 @@
     const auto [stop, error] = std::from_chars(start, end, u, hex ? 16 : 10);
     if (error != std::errc() || stop != end) return bad(l, "a whole number of at most 64 bits is expected");
     static constexpr std::pair<const char*, std::int64_t> kTimes[] = {
-        {"ns", 1}, {"us", 1000}, {"ms", 1000000}, {"s", 1000000000}, {"m", 60000000000}, {"h", 3600000000000},
-        {"d", 86400000000000}};
+        {"ns", 1},          {"us", 1000},         {"ms", 1000000},      {"s", 1000000000},
+        {"m", 60000000000}, {"h", 3600000000000}, {"d", 86400000000000}};
     static constexpr std::pair<const char*, std::uint64_t> kSizes[] = {
         {"B", 1}, {"KiB", 1ULL << 10}, {"MiB", 1ULL << 20}, {"GiB", 1ULL << 30}, {"TiB", 1ULL << 40}};
     if (unit == "u") {
@@ -176,7 +184,9 @@
       c.value = Value(bytes);
       return l;
     }
-    if (!unit.empty()) return bad(l, "unknown unit '" + unit + "'; u, ns, us, ms, s, m, h, d, B, KiB, MiB, GiB, TiB are known");
+    if (!unit.empty())
+      return bad(l,
+                 "unknown unit '" + unit + "'; u, ns, us, ms, s, m, h, d, B, KiB, MiB, GiB, TiB are known");
     if (u > INT64_MAX) return bad(l, "an int of more than 63 bits; write 'u' after it for a uint");
     c.type = kInt;
     c.value = Value(static_cast<std::int64_t>(u));
@@ -210,7 +220,8 @@
         return bad(l, "unknown escape; \\n \\t \\r \\\\ \\\" \\' \\xHH are known");
       }
     }
-    if (type == kString && not_utf8(out)) return bad(l, "a string must be UTF-8 without NUL; write b\"...\" for bytes");
+    if (type == kString && not_utf8(out))
+      return bad(l, "a string must be UTF-8 without NUL; write b\"...\" for bytes");
     l.token = Token::kConstant;
     l.constant.type = type;
     l.constant.bytes = std::move(out);
@@ -228,11 +239,11 @@
   int power;
 };
 // Weakest first. Comparisons do not chain.
-constexpr Infix kInfix[] = {{"||", Op::kOr, 2},       {"&&", Op::kAnd, 3},      {"==", Op::kEqual, 4},
-                            {"!=", Op::kUnequal, 4},  {"<", Op::kLess, 4},      {"<=", Op::kAtMost, 4},
-                            {">", Op::kGreater, 4},   {">=", Op::kAtLeast, 4},  {"in", Op::kIn, 4},
-                            {"+", Op::kAdd, 6},       {"-", Op::kSubtract, 6},  {"*", Op::kMultiply, 7},
-                            {"/", Op::kDivide, 7},    {"%", Op::kRemainder, 7}};
+constexpr Infix kInfix[] = {{"||", Op::kOr, 2},      {"&&", Op::kAnd, 3},     {"==", Op::kEqual, 4},
+                            {"!=", Op::kUnequal, 4}, {"<", Op::kLess, 4},     {"<=", Op::kAtMost, 4},
+                            {">", Op::kGreater, 4},  {">=", Op::kAtLeast, 4}, {"in", Op::kIn, 4},
+                            {"+", Op::kAdd, 6},      {"-", Op::kSubtract, 6}, {"*", Op::kMultiply, 7},
+                            {"/", Op::kDivide, 7},   {"%", Op::kRemainder, 7}};
 constexpr int kComparison = 4;
 constexpr int kPrefix = 8;
 
@@ -255,17 +266,21 @@
 
   std::unique_ptr<Tree> unexpected(std::string expected) {
     if (now_.token == Token::kBad) return nullptr;  // said already
-    std::string found = now_.token == Token::kEnd ? "the expression ends" : now_.token == Token::kSign ? "'" + now_.text + "' stands here" : "";
+    std::string found = now_.token == Token::kEnd    ? "the expression ends"
+                        : now_.token == Token::kSign ? "'" + now_.text + "' stands here"
+                                                     : "";
     if (now_.token == Token::kName) {
       found = "'" + now_.text + "' stands here";
       const std::string lower = [&] {
         std::string s = now_.text;
-        std::transform(s.begin(), s.end(), s.begin(), [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
+        std::transform(s.begin(), s.end(), s.begin(),
+                       [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
         return s;
       }();
       if (lower == "and") found += "; did you mean &&?";
       else if (lower == "or") found += "; did you mean ||?";
-      else if (lower == "like" || lower == "contains" || lower == "matches") found += "; it is written as a function";
+      else if (lower == "like" || lower == "contains" || lower == "matches")
+        found += "; it is written as a function";
       else if (lower == "is" || lower == "eq") found += "; did you mean ==?";
     }
     if (now_.token == Token::kSign && now_.text == "=") found += "; did you mean ==?";
@@ -298,7 +313,8 @@
 
   std::unique_ptr<Tree> expression(int power) {
     if (++depth_ > limits_.nesting) {
-      if (depth_ == limits_.nesting + 1) fault(now_.place, "nested deeper than " + std::to_string(limits_.nesting) + " levels");
+      if (depth_ == limits_.nesting + 1)
+        fault(now_.place, "nested deeper than " + std::to_string(limits_.nesting) + " levels");
       return nullptr;
     }
     auto t = operand();
@@ -410,7 +426,8 @@
       if (!t) return nullptr;
       if (now_.token != Token::kName) return unexpected("a name is expected after let");
       t->text = now_.text;
-      if (find_field(t->text) >= 0 || find_function(t->text) != nullptr || t->text == "in" || t->text == "let")
+      if (find_field(t->text) >= 0 || find_function(t->text) != nullptr || t->text == "in" ||
+          t->text == "let")
         return fault(now_.place, "'" + t->text + "' has a meaning already"), nullptr;
       advance();
       if (!sign("=")) return unexpected("'=' is expected");
@@ -445,7 +462,8 @@
 
   void unknown(const char* what, const Lexeme& word) {
     const std::string near = nearest_name(word.text);
-    fault(word.place, std::string("unknown ") + what + " '" + word.text + "'" + (near.empty() ? "" : "; did you mean " + near + "?"));
+    fault(word.place, std::string("unknown ") + what + " '" + word.text + "'" +
+                          (near.empty() ? "" : "; did you mean " + near + "?"));
   }
 
   Lexer lexer_;
@@ -481,11 +499,15 @@
 
 std::string address_text(const Address& a) {
   const auto six = v6(a);
-  return six.is_v4_mapped() ? boost::asio::ip::make_address_v4(boost::asio::ip::v4_mapped, six).to_string() : six.to_string();
+  return six.is_v4_mapped() ? boost::asio::ip::make_address_v4(boost::asio::ip::v4_mapped, six).to_string()
+                            : six.to_string();
 }
 
 Address mapped(const boost::asio::ip::address& address) {
-  const auto bytes = (address.is_v4() ? boost::asio::ip::make_address_v6(boost::asio::ip::v4_mapped, address.to_v4()) : address.to_v6()).to_bytes();
+  const auto bytes =
+      (address.is_v4() ? boost::asio::ip::make_address_v6(boost::asio::ip::v4_mapped, address.to_v4())
+                       : address.to_v6())
+          .to_bytes();
   Address a;
   std::copy(bytes.begin(), bytes.end(), a.begin());
   return a;
@@ -513,13 +535,18 @@
 }
 
 std::string Type::text() const {
-  static constexpr const char* kNames[] = {"bool", "int", "uint", "double", "string", "bytes", "duration", "size", "address", "network"};
+  static constexpr const char* kNames[] = {"bool",  "int",      "uint", "double",  "string",
+                                           "bytes", "duration", "size", "address", "network"};
   const std::string one = kNames[static_cast<std::size_t>(base)];
   switch (shape) {
-    case Shape::kOne: return one;
-    case Shape::kList: return "list of " + one;
-    case Shape::kSet: return "set of " + one;
-    case Shape::kRange: return "range of " + one;
+    case Shape::kOne:
+      return one;
+    case Shape::kList:
+      return "list of " + one;
+    case Shape::kSet:
+      return "set of " + one;
+    case Shape::kRange:
+      return "range of " + one;
   }
   return one;
 }
@@ -528,13 +555,18 @@
   if (type != o.type || bytes != o.bytes || prefix != o.prefix || items != o.items) return false;
   if (type.shape != Shape::kOne) return true;
   switch (type.base) {
-    case Base::kBool: return value.b == o.value.b;
-    case Base::kDouble: return std::memcmp(&value.d, &o.value.d, sizeof value.d) == 0;
+    case Base::kBool:
+      return value.b == o.value.b;
+    case Base::kDouble:
+      return std::memcmp(&value.d, &o.value.d, sizeof value.d) == 0;
     case Base::kString:
-    case Base::kBytes: return true;
+    case Base::kBytes:
+      return true;
     case Base::kAddress:
-    case Base::kNetwork: return value.a == o.value.a;
-    default: return value.i == o.value.i;
+    case Base::kNetwork:
+      return value.a == o.value.a;
+    default:
+      return value.i == o.value.i;
   }
 }
 
@@ -546,20 +578,28 @@
     return out + "]";
   }
   switch (type.base) {
-    case Base::kBool: return value.b ? "true" : "false";
-    case Base::kInt: return std::to_string(value.i);
-    case Base::kUint: return std::to_string(value.u) + "u";
+    case Base::kBool:
+      return value.b ? "true" : "false";
+    case Base::kInt:
+      return std::to_string(value.i);
+    case Base::kUint:
+      return std::to_string(value.u) + "u";
     case Base::kDouble: {
       char out[400];
       const auto end = std::to_chars(out, out + sizeof out, value.d, std::chars_format::fixed).ptr;
       const std::string s(out, end);
       return s.find('.') == std::string::npos ? s + ".0" : s;
     }
-    case Base::kString: return quoted(bytes, false);
-    case Base::kBytes: return quoted(bytes, true);
-    case Base::kDuration: return std::to_string(value.i) + "ns";
-    case Base::kSize: return std::to_string(value.u) + "B";
-    case Base::kAddress: return "ip(\"" + address_text(value.a) + "\")";
+    case Base::kString:
+      return quoted(bytes, false);
+    case Base::kBytes:
+      return quoted(bytes, true);
+    case Base::kDuration:
+      return std::to_string(value.i) + "ns";
+    case Base::kSize:
+      return std::to_string(value.u) + "B";
+    case Base::kAddress:
+      return "ip(\"" + address_text(value.a) + "\")";
     case Base::kNetwork: {
       const bool four = v6(value.a).is_v4_mapped() && prefix >= 96;
       return "net(\"" + address_text(value.a) + "/" + std::to_string(four ? prefix - 96 : prefix) + "\")";
@@ -579,19 +619,26 @@
 
 std::string Tree::print() const {
   switch (node) {
-    case Node::kConstant: return constant.text();
+    case Node::kConstant:
+      return constant.text();
     case Node::kField:
-    case Node::kName: return text;
-    case Node::kSet: return "$" + text;
-    case Node::kUnary: return std::string(name(op)) + "(" + args[0]->print() + ")";
+    case Node::kName:
+      return text;
+    case Node::kSet:
+      return "$" + text;
+    case Node::kUnary:
+      return std::string(name(op)) + "(" + args[0]->print() + ")";
     case Node::kBinary: {
-      const std::string right = args[1]->node == Node::kRange ? args[1]->print() : "(" + args[1]->print() + ")";
+      const std::string right =
+          args[1]->node == Node::kRange ? args[1]->print() : "(" + args[1]->print() + ")";
       return "(" + args[0]->print() + ") " + name(op) + " " + right;
     }
-    case Node::kRange: return "(" + args[0]->print() + ")..(" + args[1]->print() + ")";
+    case Node::kRange:
+      return "(" + args[0]->print() + ")..(" + args[1]->print() + ")";
     case Node::kCondition:
       return "(" + args[0]->print() + ") ? (" + args[1]->print() + ") : (" + args[2]->print() + ")";
-    case Node::kLet: return "let " + text + " = " + args[0]->print() + "; " + args[1]->print();
+    case Node::kLet:
+      return "let " + text + " = " + args[0]->print() + "; " + args[1]->print();
     case Node::kCall:
     case Node::kList: {
       std::string out = node == Node::kCall ? std::string(function->name) + "(" : "[";
@@ -603,7 +650,8 @@
 }
 
 bool Tree::same(const Tree& o) const {
-  if (node != o.node || args.size() != o.args.size() || text != o.text || field != o.field || function != o.function)
+  if (node != o.node || args.size() != o.args.size() || text != o.text || field != o.field ||
+      function != o.function)
     return false;
   if ((node == Node::kUnary || node == Node::kBinary) && op != o.op) return false;
   if (node == Node::kConstant && !(constant == o.constant)) return false;
@@ -615,7 +663,9 @@
 
 std::unique_ptr<Tree> parse(std::string_view source, const Limits& limits, std::vector<Fault>& faults) {
   if (source.size() > limits.source) {
-    faults.push_back({{}, std::to_string(source.size()) + " bytes, at most " + std::to_string(limits.source) + " are allowed"});
+    faults.push_back({{},
+                      std::to_string(source.size()) + " bytes, at most " + std::to_string(limits.source) +
+                          " are allowed"});
     return nullptr;
   }
   if (const auto at = not_utf8(source)) {
@@ -629,7 +679,10 @@
 
 std::string shown(std::string_view source, const Fault& fault) {
   const std::size_t at = std::min(fault.place.offset, source.size());
-  const std::size_t start = at == 0 ? 0 : source.rfind('\n', at - 1) == std::string_view::npos ? 0 : source.rfind('\n', at - 1) + 1;
+  const std::size_t start = at == 0 ? 0
+                            : source.rfind('\n', at - 1) == std::string_view::npos
+                                ? 0
+                                : source.rfind('\n', at - 1) + 1;
   const std::size_t end = std::min(source.find('\n', at), source.size());
   const auto line = 1 + std::count(source.begin(), source.begin() + static_cast<std::ptrdiff_t>(start), '\n');
   std::string shown_line(source.substr(start, std::min<std::size_t>(end - start, 160)));
@@ -637,8 +690,8 @@
   for (std::size_t i = start; i < at && caret.size() < 160; ++i) {
     if ((static_cast<unsigned char>(source[i]) & 0xc0) != 0x80) caret += source[i] == '\t' ? '\t' : ' ';
   }
-  return "line " + std::to_string(line) + ", column " + std::to_string(caret.size() + 1) + ": " + fault.text + "\n  " +
-         shown_line + "\n  " + caret + "^";
+  return "line " + std::to_string(line) + ", column " + std::to_string(caret.size() + 1) + ": " + fault.text +
+         "\n  " + shown_line + "\n  " + caret + "^";
 }
 
 }  // namespace heronworks::expr
--- a/src/expr/syntax.h
+++ b/src/expr/syntax.h
@@ -10,22 +10,36 @@
 namespace heronworks::expr {
 
 enum class Node : std::uint8_t {
-  kConstant,   // literal, or folded
+  kConstant,  // literal, or folded
   kField,
-  kName,       // of a let
-  kSet,        // a named set of networks, $name
+  kName,  // of a let
+  kSet,   // a named set of networks, $name
   kUnary,
   kBinary,
   kCondition,  // a ? b : c
   kCall,
-  kLet,        // let name = a; b
-  kList,       // [a, b]
-  kRange,      // a..b, only after `in`
+  kLet,    // let name = a; b
+  kList,   // [a, b]
+  kRange,  // a..b, only after `in`
 };
 
 enum class Op : std::uint8_t {
-  kOr, kAnd, kEqual, kUnequal, kLess, kAtMost, kGreater, kAtLeast, kIn, kAdd, kSubtract, kMultiply, kDivide,
-  kRemainder, kNot, kNegate,
+  kOr,
+  kAnd,
+  kEqual,
+  kUnequal,
+  kLess,
+  kAtMost,
+  kGreater,
+  kAtLeast,
+  kIn,
+  kAdd,
+  kSubtract,
+  kMultiply,
+  kDivide,
+  kRemainder,
+  kNot,
+  kNegate,
 };
 const char* name(Op op);
 
--- a/src/expr/type.h
+++ b/src/expr/type.h
@@ -10,7 +10,16 @@
 namespace heronworks::expr {
 
 enum class Base : std::uint8_t {
-  kBool, kInt, kUint, kDouble, kString, kBytes, kDuration, kSize, kAddress, kNetwork,
+  kBool,
+  kInt,
+  kUint,
+  kDouble,
+  kString,
+  kBytes,
+  kDuration,
+  kSize,
+  kAddress,
+  kNetwork,
 };
 enum class Shape : std::uint8_t { kOne, kList, kSet, kRange };
 
@@ -55,9 +64,9 @@
 // A value known before a program runs, with the bytes that it needs.
 struct Constant {
   Type type;
-  Value value;              // of one: all but texts
-  std::string bytes;        // of texts
-  std::uint8_t prefix = 0;  // of a network: bits, of 128
+  Value value;                  // of one: all but texts
+  std::string bytes;            // of texts
+  std::uint8_t prefix = 0;      // of a network: bits, of 128
   std::vector<Constant> items;  // of a list or set; the two ends of a range
   bool operator==(const Constant& o) const;
   std::string text() const;  // as it would be written
@@ -75,17 +84,17 @@
 
 // What may be asked of an expression; over any of it, it is refused with the figure.
 struct Limits {
-  std::size_t source = 16384;     // bytes
-  std::size_t nesting = 64;       // levels
-  std::size_t nodes = 4096;       // of the tree
-  std::size_t items = 4096;       // of one literal list or set
+  std::size_t source = 16384;  // bytes
+  std::size_t nesting = 64;    // levels
+  std::size_t nodes = 4096;    // of the tree
+  std::size_t items = 4096;    // of one literal list or set
   std::size_t instructions = 8192;
   std::size_t registers = 250;
-  std::size_t regex = 512;        // bytes of one regular expression
+  std::size_t regex = 512;  // bytes of one regular expression
   std::size_t regex_memory = 1 << 18;
-  std::size_t text = 4096;        // bytes that a computed text may have
-  std::size_t scratch = 16384;    // bytes of all computed texts of one expression
-  std::uint64_t cost = 20000;     // steps, see docs/expressions.md
+  std::size_t text = 4096;      // bytes that a computed text may have
+  std::size_t scratch = 16384;  // bytes of all computed texts of one expression
+  std::uint64_t cost = 20000;   // steps, see docs/expressions.md
 };
 
 // "line 1, column 5" of an offset, with the line and a caret under it.
--- a/src/gateway/list_watch.cpp
+++ b/src/gateway/list_watch.cpp
@@ -15,7 +15,9 @@
 constexpr std::size_t kMostNodes = 65536;
 constexpr std::uint32_t kMostShards = 65536;  // as the configuration allows; tables go by shard
 
-std::string checksum(const std::string& text) { return std::to_string(XXH3_64bits(text.data(), text.size())); }
+std::string checksum(const std::string& text) {
+  return std::to_string(XXH3_64bits(text.data(), text.size()));
+}
 
 }  // namespace
 
@@ -89,8 +91,8 @@
       const auto address = Address::parse(j.at("address").get<std::string>());
       const int listing = j.at("listing").get<int>();
       if (!address || listing < 0 || listing > 2) return reason = "a broken entry", std::nullopt;
-      nodes.push_back({*address, j.at("zone").get<int>(), j.at("shard").get<int>(), static_cast<Listing>(listing),
-                       j.at("came_up").get<std::uint64_t>()});
+      nodes.push_back({*address, j.at("zone").get<int>(), j.at("shard").get<int>(),
+                       static_cast<Listing>(listing), j.at("came_up").get<std::uint64_t>()});
     }
   } catch (const nlohmann::json::exception& e) {
     return reason = e.what(), std::nullopt;
@@ -184,8 +186,8 @@
   if (page_.size() < whole) {
     nvme::Sqe c;
     c.opcode = nvme::opcode::kGetLogPage;
-    const auto left = static_cast<std::uint32_t>(
-        std::min<std::size_t>(whole - page_.size(), std::min(host_->transfer_limit(), std::uint32_t{1} << 18)));
+    const auto left = static_cast<std::uint32_t>(std::min<std::size_t>(
+        whole - page_.size(), std::min(host_->transfer_limit(), std::uint32_t{1} << 18)));
     const std::uint32_t words = left / 4 - 1;
     c.cdw10 = nvme::kLogDiscovery | words << 16;
     c.cdw11 = words >> 16;
--- a/src/gateway/list_watch.h
+++ b/src/gateway/list_watch.h
@@ -20,9 +20,9 @@
 nvme::Bytes encode_list(const std::vector<ListedNode>& nodes, std::uint64_t generation,
                         const std::string& subsystem);
 
-// The list as it was last saved; nothing, with a reason, if there is none or it is torn. A save goes to a file
-// beside it and is renamed, with a checksum over all: a crash leaves the old list or the new one, and what a
-// crash of the machine tore is known by its checksum.
+// The list as it was last saved; nothing, with a reason, if there is none or it is torn. A save goes to a
+// file beside it and is renamed, with a checksum over all: a crash leaves the old list or the new one, and
+// what a crash of the machine tore is known by its checksum.
 std::optional<std::vector<ListedNode>> load_saved_list(const std::string& path, std::string& reason);
 bool save_list(const std::string& path, const std::vector<ListedNode>& nodes);
 
--- a/src/gateway/match.cpp
+++ b/src/gateway/match.cpp
@@ -37,8 +37,8 @@
   return nsid <= after->last ? &*after : nullptr;
 }
 
-std::optional<Matched> Matcher::match(const nvme::Sqe& sqe, const ClientFacts& client, double now, double wall,
-                                      nvme::Status& refused) {
+std::optional<Matched> Matcher::match(const nvme::Sqe& sqe, const ClientFacts& client, double now,
+                                      double wall, nvme::Status& refused) {
   const auto* volume = find(sqe.nsid);
   if (!volume) return refused = nvme::status::kInvalidNamespace, std::nullopt;
   const bool append = sqe.opcode == nvme::opcode::kZoneAppend;
@@ -55,7 +55,7 @@
 
   Matched m;
   Transaction& t = m.transaction;
-  const auto operation = append ? config::Operation::kAppend
+  const auto operation = append                               ? config::Operation::kAppend
                          : sqe.opcode == nvme::opcode::kWrite ? config::Operation::kWrite
                                                               : config::Operation::kRead;
   t.profile = -1;
@@ -70,10 +70,10 @@
   t.units = units;
   t.plan = volume->plan;
   t.hosts = volume->hosts;
-  const auto range = static_cast<std::size_t>(
-      std::upper_bound(sorted_.begin(), sorted_.end(), sqe.nsid, [](std::uint32_t n, const auto& v) {
-        return n < v.first;
-      }) - sorted_.begin() - 1);
+  const auto range =
+      static_cast<std::size_t>(std::upper_bound(sorted_.begin(), sorted_.end(), sqe.nsid,
+                                                [](std::uint32_t n, const auto& v) { return n < v.first; }) -
+                               sorted_.begin() - 1);
   m.tenant = tenant_[range];
   t.volume = first_index_[range] + static_cast<int>(sqe.nsid - sorted_[range].first);
   t.shard = append ? -1 : static_cast<int>(zone % config_.shards);
@@ -93,7 +93,8 @@
   const bool append = sqe.opcode == nvme::opcode::kZoneAppend;
   const bool write = sqe.opcode == nvme::opcode::kWrite;
   set(FieldId::kVolume, Value(std::uint64_t{sqe.nsid}));
-  set(FieldId::kPlan, Value(std::string_view(config_.plan_names[static_cast<std::size_t>(m.transaction.plan)])));
+  set(FieldId::kPlan,
+      Value(std::string_view(config_.plan_names[static_cast<std::size_t>(m.transaction.plan)])));
   set(FieldId::kOperation, Value(std::string_view(append ? "append" : write ? "write" : "read")));
   set(FieldId::kOpcode, Value(std::uint64_t{sqe.opcode}));
   set(FieldId::kLba, Value(append ? std::uint64_t{0} : sqe.slba()));
@@ -128,7 +129,9 @@
   Value v;
   if (rule.units) {
     // A number that no transaction may have is taken as a failure: the ordinary one stands.
-    if (machine_.run(*rule.units, record, v) != expr::Failure::kNone || v.u < 1 || v.u > config_.settings.largest_units) failed();
+    if (machine_.run(*rule.units, record, v) != expr::Failure::kNone || v.u < 1 ||
+        v.u > config_.settings.largest_units)
+      failed();
     else m.transaction.units = static_cast<double>(v.u);
   }
   if (rule.key) {
@@ -155,7 +158,8 @@
   set(expr::FieldId::kHour, minute_of_day_ / 60);
   set(expr::FieldId::kWeekday, weekday_);
   set(expr::FieldId::kTimeOfDay,
-      minute_of_day_ * 60000000000 + static_cast<std::int64_t>((wall - static_cast<double>(minute) * 60) * 1e9));
+      minute_of_day_ * 60000000000 +
+          static_cast<std::int64_t>((wall - static_cast<double>(minute) * 60) * 1e9));
 }
 
 }  // namespace heronworks::gateway
--- a/src/gateway/match.h
+++ b/src/gateway/match.h
@@ -1,5 +1,6 @@
-// From a command to what the module is told of it. Nothing else looks at the configuration's [[rule]], [[match]]
-// and [[volumes]]. The first rule that holds and is under its share decides; where none does, [[match]].
+// From a command to what the module is told of it. Nothing else looks at the configuration's [[rule]],
+// [[match]] and [[volumes]]. The first rule that holds and is under its share decides; where none does,
+// [[match]].
 #pragma once
 
 #include <optional>
@@ -35,7 +36,8 @@
   std::size_t tenants() const { return tenants_; }
   const std::string& tenant_of(std::uint32_t nsid) const { return find(nsid)->tenant; }
 
-  // An error status where the command is not one that a volume takes. `now` is the loop's, `wall` seconds since 1970.
+  // An error status where the command is not one that a volume takes. `now` is the loop's, `wall` seconds
+  // since 1970.
   std::optional<Matched> match(const nvme::Sqe& sqe, const ClientFacts& client, double now, double wall,
                                nvme::Status& refused);
 
@@ -49,12 +51,12 @@
 
   const config::GatewayConfig& config_;
   std::vector<config::Volumes> sorted_;
-  std::vector<int> first_index_;  // of each range's first volume among all
+  std::vector<int> first_index_;     // of each range's first volume among all
   std::vector<std::size_t> tenant_;  // of each range, a number under tenants_
   std::size_t tenants_ = 0;
   expr::Machine machine_;
   expr::Gate gate_;
-  long minute_ = -1;              // of which the local time is known
+  long minute_ = -1;  // of which the local time is known
   std::int64_t minute_of_day_ = 0;
   std::int64_t weekday_ = 1;
 };
--- a/src/gateway/node_link.cpp
+++ b/src/gateway/node_link.cpp
@@ -56,10 +56,10 @@
   pump();
 }
 
-// Danger: answers that never come keep their identifiers, until none is left and the node seems unreachable for
-// good; and a write that timed out before its data was asked for would run long after its key has rested, so it never
-// gets it. Once half are lost, or such data was asked for, nothing new goes out, and when all that is awaited has ended
-// the connection is made anew. May hold others back for one time-out.
+// Danger: answers that never come keep their identifiers, until none is left and the node seems unreachable
+// for good; and a write that timed out before its data was asked for would run long after its key has rested,
+// so it never gets it. Once half are lost, or such data was asked for, nothing new goes out, and when all
+// that is awaited has ended the connection is made anew. May hold others back for one time-out.
 bool NodeLink::worn_out() {
   if (!host_ || !host_->ready()) return false;
   const auto awaited = static_cast<std::ptrdiff_t>(sent_.size() - waiting_.size());
--- a/src/gateway/scheduler.cpp
+++ b/src/gateway/scheduler.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr double kReportEvery = 1.0;  // s between two lines of counts in the log
-constexpr double kWaitingLook = 0.01; // s between two looks at answers that wait: later ones may have to go earlier
+constexpr double kWaitingLook =
+    0.01;  // s between two looks at answers that wait: later ones may have to go earlier
 constexpr std::uint64_t kOwnLabel = std::uint64_t{1} << 63;  // set in labels that a scheduler gives itself
 
 nvme::TargetOptions target_options(const config::GatewayConfig& c) {
@@ -35,9 +36,11 @@
       log_(log),
       matcher_(config),
       wall_offset_(wall_offset()),
-      door_(matcher_.tenants(), static_cast<double>(config.most_open), static_cast<double>(config.most_bytes)) {
+      door_(matcher_.tenants(), static_cast<double>(config.most_open),
+            static_cast<double>(config.most_bytes)) {
   Fd listener = listen_on(config.listen);
-  if (!listener) throw std::runtime_error("cannot listen on " + config.listen.text() + ": " + std::strerror(errno));
+  if (!listener)
+    throw std::runtime_error("cannot listen on " + config.listen.text() + ": " + std::strerror(errno));
   own_label_ = kOwnLabel | static_cast<std::uint64_t>(config.settings.index) << 46 |
                (static_cast<std::uint64_t>((loop.now() + wall_offset_) * 1000) & 0x3fffffff) << 16;
   nvme::HostOptions list;
@@ -70,7 +73,8 @@
     o.scheduler = static_cast<std::uint32_t>(config.settings.index);
     o.new_ledger = own_label_ ^ static_cast<std::uint64_t>(::getpid()) << 32;
     keeper_ = std::make_unique<ledger::Keeper>(loop, files_, o, *this);
-    log_.info(loop_.now(), "ledger.opened", {{"entries", keeper_->book().entries()}, {"period", keeper_->book().period()}});
+    log_.info(loop_.now(), "ledger.opened",
+              {{"entries", keeper_->book().entries()}, {"period", keeper_->book().period()}});
   }
   target_ = std::make_unique<nvme::Target>(loop, std::move(listener), target_options(config), *this);
   report_ = loop_.at(loop_.now() + kReportEvery, [this] { report(); });
@@ -117,9 +121,9 @@
   if (cns == 0 || (cns == 5 && csi == 2)) {
     if (!matcher_.knows(nsid)) return nvme::status::kInvalidNamespace;
     if (cns == 0) {
-      put(0, config_.volume_blocks());   // NSZE
-      put(8, config_.volume_blocks());   // NCAP
-      put(16, config_.volume_blocks());  // NUSE
+      put(0, config_.volume_blocks());                                               // NSZE
+      put(8, config_.volume_blocks());                                               // NCAP
+      put(16, config_.volume_blocks());                                              // NUSE
       page[130] = static_cast<std::uint8_t>(std::countr_zero(config_.block_bytes));  // LBAF0.LBADS
     } else {
       put(2816, std::uint64_t{config_.zone_blocks});  // LBAFE0.ZSZE
@@ -129,7 +133,8 @@
   if (cns == 2) {  // active namespaces above nsid
     std::vector<std::uint32_t> all;
     for (const auto& v : config_.volumes) {
-      for (std::uint32_t n = std::max(v.first, nsid + 1); n <= v.last && all.size() < 4096; ++n) all.push_back(n);
+      for (std::uint32_t n = std::max(v.first, nsid + 1); n <= v.last && all.size() < 4096; ++n)
+        all.push_back(n);
     }
     std::sort(all.begin(), all.end());
     std::memcpy(page.data(), all.data(), std::min<std::size_t>(all.size(), 1024) * 4);
@@ -147,15 +152,16 @@
   return out;
 }
 
-void Scheduler::log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page, std::uint64_t offset,
-                         std::uint32_t length) {
+void Scheduler::log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page,
+                         std::uint64_t offset, std::uint32_t length) {
   if (page != kReasonsPage) {
     target_->complete(connection, cid, nvme::status::kInvalidLogPage);
     return;
   }
   const std::string text = reasons();
   nvme::Bytes bytes(length);  // what is beyond the text is zeros
-  if (offset < text.size()) std::memcpy(bytes.data(), text.data() + offset, std::min<std::size_t>(length, text.size() - offset));
+  if (offset < text.size())
+    std::memcpy(bytes.data(), text.data() + offset, std::min<std::size_t>(length, text.size() - offset));
   target_->complete(connection, cid, nvme::status::kOk, 0, bytes);
 }
 
@@ -165,7 +171,8 @@
     target_->complete(c.connection, c.sqe.cid, status, result);
   };
   if (c.sqe.opcode == nvme::opcode::kFlush) {
-    // Nodes answer a write once it is kept (Identify Controller: no volatile write cache); Flush has no effect.
+    // Nodes answer a write once it is kept (Identify Controller: no volatile write cache); Flush has no
+    // effect.
     if (!matcher_.knows(c.sqe.nsid)) return end(nvme::status::kInvalidNamespace, counts_.refused);
     target_->complete(c.connection, c.sqe.cid, nvme::status::kOk);
     return;
@@ -174,7 +181,8 @@
   const auto matched = matcher_.match(c.sqe, facts_[c.connection], now(), now() + wall_offset_, refused);
   if (!matched) return end(refused, counts_.refused);
   const bool reads = c.sqe.opcode == nvme::opcode::kRead;
-  if (c.sqe.sgl_length != c.sqe.blocks() * config_.block_bytes) return end(nvme::status::kInvalidField, counts_.refused);
+  if (c.sqe.sgl_length != c.sqe.blocks() * config_.block_bytes)
+    return end(nvme::status::kInvalidField, counts_.refused);
   nvme::Status busy = nvme::status::kCommandInterrupted;
   busy.crd = 1;
   const auto bytes = static_cast<double>(c.data.size());
@@ -184,7 +192,8 @@
 
   if (matched->failures > 0) {
     counts_.rule_errors += static_cast<std::uint64_t>(matched->failures);
-    log_.warn(loop_.now(), "rule.error", {{"rule", matcher_.rules().rule(matched->failed).name}, {"volume", c.sqe.nsid}});
+    log_.warn(loop_.now(), "rule.error",
+              {{"rule", matcher_.rules().rule(matched->failed).name}, {"volume", c.sqe.nsid}});
   }
   if (matched->rule >= 0) {
     const expr::Rule& rule = matcher_.rules().rule(matched->rule);
@@ -201,7 +210,8 @@
   // The client's time has been running since the command came to this machine, which may be long ago if this
   // scheduler stood still; the answer needs some of it for the way back.
   const double told = c.sqe.time_left();
-  const double whole = told > 0 ? told : config_.settings.profiles[static_cast<std::size_t>(t.profile)].cut_off;
+  const double whole =
+      told > 0 ? told : config_.settings.profiles[static_cast<std::size_t>(t.profile)].cut_off;
   t.time_left = whole - std::max(now() - c.at, 0.0) - config_.way_back;
 
   const int id = slots_.take();
@@ -358,10 +368,12 @@
   const std::uint64_t ticket = keeper_->honoured(use);
   if (!config_.ledger.waits) return answer(s, nvme::status::kOk, result, data);
   const Profile& profile = config_.settings.profiles[static_cast<std::size_t>(s.t.profile)];
-  const double until = keeper_->pressure().hold_until(now(), s.landed_at + profile.contract, s.landed_at + s.t.time_left);
+  const double until =
+      keeper_->pressure().hold_until(now(), s.landed_at + profile.contract, s.landed_at + s.t.time_left);
   waiting_.push_back({ticket, until, s.connection, s.sqe.cid, result, std::move(data)});
   mark_answered(s);
-  if (waiting_timer_ == 0) waiting_timer_ = loop_.at(std::min(until, loop_.now() + kWaitingLook), [this] { look_at_waiting(); });
+  if (waiting_timer_ == 0)
+    waiting_timer_ = loop_.at(std::min(until, loop_.now() + kWaitingLook), [this] { look_at_waiting(); });
 }
 
 void Scheduler::entered(std::uint64_t ticket) {
@@ -387,7 +399,8 @@
       next = std::min(next, w.until);
     }
   }
-  if (!waiting_.empty()) waiting_timer_ = loop_.at(std::min(next, loop_.now() + kWaitingLook), [this] { look_at_waiting(); });
+  if (!waiting_.empty())
+    waiting_timer_ = loop_.at(std::min(next, loop_.now() + kWaitingLook), [this] { look_at_waiting(); });
 }
 
 void Scheduler::ledger_state(bool read_only, const std::string& reason) {
--- a/src/gateway/scheduler.h
+++ b/src/gateway/scheduler.h
@@ -9,13 +9,13 @@
 #include "control.h"
 #include "gateway/door.h"
 #include "gateway/list_watch.h"
-#include "ledger/keeper.h"
-#include "log/log.h"
 #include "gateway/match.h"
 #include "gateway/node_link.h"
 #include "host/beat.h"
 #include "host/node_numbers.h"
 #include "host/slots.h"
+#include "ledger/keeper.h"
+#include "log/log.h"
 #include "nvme/target.h"
 
 namespace heronworks::gateway {
@@ -28,19 +28,23 @@
   std::uint64_t given_up = 0;
   std::uint64_t abandoned = 0;
   std::uint64_t dispatched = 0;
-  std::uint64_t at_door = 0;  // turned back before the module saw them: draining, or a bound was reached
-  std::uint64_t by_rule = 0;  // turned back at the door by a rule's word
+  std::uint64_t at_door = 0;      // turned back before the module saw them: draining, or a bound was reached
+  std::uint64_t by_rule = 0;      // turned back at the door by a rule's word
   std::uint64_t rule_errors = 0;  // evaluations that failed: the rule did not match
   std::uint64_t at_ledger = 0;    // turned back while the ledger takes no entries
   std::uint64_t ahead = 0;        // answers that went out before their entries were durable
-  std::uint64_t refused = 0;  // with an error status: not a command that a volume takes
+  std::uint64_t refused = 0;      // with an error status: not a command that a volume takes
 };
 
-// A vendor's log page: the reasons of rules. The answer to a transaction that a rule turned back has the rule's
-// number, from 1, in its result (DW0).
+// A vendor's log page: the reasons of rules. The answer to a transaction that a rule turned back has the
+// rule's number, from 1, in its result (DW0).
 inline constexpr std::uint8_t kReasonsPage = 0xC0;
 
-class Scheduler final : public heronworks::Host, public nvme::Backend, public NodeLinkOwner, public ListOwner, public ledger::KeeperOwner {
+class Scheduler final : public heronworks::Host,
+                        public nvme::Backend,
+                        public NodeLinkOwner,
+                        public ListOwner,
+                        public ledger::KeeperOwner {
  public:
   // Throws std::runtime_error if it cannot listen.
   Scheduler(Loop& loop, const config::GatewayConfig& config, Log& log);
@@ -50,7 +54,9 @@
   const Counts& counts() const { return counts_; }
   // What log page kReasonsPage holds: a rule that turns back a line, "number<TAB>name<TAB>reason".
   std::string reasons() const;
-  std::size_t unread() const { return target_->unsent(); }  // bytes of answers that clients have not taken yet
+  std::size_t unread() const {
+    return target_->unsent();
+  }  // bytes of answers that clients have not taken yet
   bool door_empty() const { return door_.empty(); }
   std::size_t open() const { return slots_.open(); }
 
@@ -70,7 +76,8 @@
   void command(nvme::Command&& command) override;
   void log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page, std::uint64_t offset,
                 std::uint32_t length) override;
-  void admitted(nvme::ConnectionId connection, const std::string& host, bool admin, const heronworks::Address& peer) override;
+  void admitted(nvme::ConnectionId connection, const std::string& host, bool admin,
+                const heronworks::Address& peer) override;
   void closed(nvme::ConnectionId connection) override;
 
  private:
@@ -135,18 +142,18 @@
   std::unique_ptr<nvme::Target> target_;
   std::unique_ptr<ListWatch> list_;
   std::unique_ptr<Control> control_;
-  Slots<Slot> slots_;  // by transaction
+  Slots<Slot> slots_;                                                // by transaction
   std::unordered_map<nvme::ConnectionId, std::set<int>> by_client_;  // open ones; emptied with them
-  std::unordered_map<nvme::ConnectionId, ClientFacts> facts_;        // of I/O connections; emptied as they close
+  std::unordered_map<nvme::ConnectionId, ClientFacts> facts_;  // of I/O connections; emptied as they close
   store::DiskFiles files_;
   std::unique_ptr<ledger::Keeper> keeper_;  // none: no ledger
   ledger::Standings standings_;
-  std::deque<Waiting> waiting_;       // by ticket; bounded by what may be open, emptied as entries are durable
+  std::deque<Waiting> waiting_;  // by ticket; bounded by what may be open, emptied as entries are durable
   Loop::Timer waiting_timer_ = 0;
   Loop::Timer draining_ = 0;
   Door door_;
-  std::vector<NodeEntry> nodes_;      // by the module's index; one whose address is gone for long has no link
-  NodeNumbers numbers_;               // by address
+  std::vector<NodeEntry> nodes_;  // by the module's index; one whose address is gone for long has no link
+  NodeNumbers numbers_;           // by address
   Loop::Timer wake_ = 0;
   Loop::Timer report_ = 0;
   std::unique_ptr<Beat> beat_;
--- a/src/http/reader.cpp
+++ b/src/http/reader.cpp
@@ -104,9 +104,15 @@
     const boost::asio::const_buffer buffer(bytes.data(), bytes.size());
     return with([&](auto& p) { return p.put(buffer, error); });
   }
-  bool done() { return with([](auto& p) { return p.is_done(); }); }
-  bool keep_alive() { return with([](auto& p) { return p.keep_alive(); }); }
-  int version() { return with([](auto& p) { return p.version; }); }
+  bool done() {
+    return with([](auto& p) { return p.is_done(); });
+  }
+  bool keep_alive() {
+    return with([](auto& p) { return p.keep_alive(); });
+  }
+  int version() {
+    return with([](auto& p) { return p.version; });
+  }
 };
 
 Reader::Reader(Kind kind, Bounds bounds) : kind_(kind), bounds_(bounds) {}
@@ -134,9 +140,7 @@
   return m;
 }
 
-std::string Reader::take_body() {
-  return parser_ ? std::exchange(parser_->message.body, {}) : std::string();
-}
+std::string Reader::take_body() { return parser_ ? std::exchange(parser_->message.body, {}) : std::string(); }
 
 std::size_t Reader::body_size() const {
   return done_ || !parser_ ? message_.body.size() : parser_->message.body.size();
--- a/src/http/reader.h
+++ b/src/http/reader.h
@@ -39,7 +39,7 @@
   // The peer has ended its sending in order, not by a reset; true if that makes the message done().
   bool put_end();
 
-  bool started() const { return started_; }     // some of a message has come
+  bool started() const { return started_; }  // some of a message has come
   bool head_done() const { return head_done_; }
   bool done() const { return done_; }
   Fault fault() const { return fault_; }
--- a/src/http/writer.cpp
+++ b/src/http/writer.cpp
@@ -7,17 +7,28 @@
 
 std::string_view reason_phrase(int status) {
   switch (status) {
-    case 200: return "OK";
-    case 400: return "Bad Request";
-    case 404: return "Not Found";
-    case 408: return "Request Timeout";
-    case 409: return "Conflict";
-    case 413: return "Content Too Large";
-    case 429: return "Too Many Requests";
-    case 431: return "Request Header Fields Too Large";
-    case 503: return "Service Unavailable";
-    case 504: return "Gateway Timeout";
-    default: return "Status";
+    case 200:
+      return "OK";
+    case 400:
+      return "Bad Request";
+    case 404:
+      return "Not Found";
+    case 408:
+      return "Request Timeout";
+    case 409:
+      return "Conflict";
+    case 413:
+      return "Content Too Large";
+    case 429:
+      return "Too Many Requests";
+    case 431:
+      return "Request Header Fields Too Large";
+    case 503:
+      return "Service Unavailable";
+    case 504:
+      return "Gateway Timeout";
+    default:
+      return "Status";
   }
 }
 
--- a/src/lab/bills.cpp
+++ b/src/lab/bills.cpp
@@ -11,13 +11,17 @@
 namespace heronworks::lab {
 
 std::string tenant_of(int volume) { return "club-" + std::to_string(volume % 7); }
-std::string ledger_folder(const std::string& folder, int scheduler) { return folder + "/ledger-" + std::to_string(scheduler); }
+std::string ledger_folder(const std::string& folder, int scheduler) {
+  return folder + "/ledger-" + std::to_string(scheduler);
+}
 
 std::string Bills::line() const {
-  std::string s = "ledgers: " + std::to_string(entries) + " entries, " + std::to_string(honoured) + " honoured by clients; billed twice " +
-                  std::to_string(twice) + ", in flight " + std::to_string(in_flight) + ", not entered " + std::to_string(lost) +
-                  " (" + std::to_string(ahead) + " answered ahead), " + std::to_string(repeats) + " repeats, " +
-                  std::to_string(corrections) + " corrections; " + (faults.empty() ? "adds up by tenant and volume\n" : "WRONG\n");
+  std::string s = "ledgers: " + std::to_string(entries) + " entries, " + std::to_string(honoured) +
+                  " honoured by clients; billed twice " + std::to_string(twice) + ", in flight " +
+                  std::to_string(in_flight) + ", not entered " + std::to_string(lost) + " (" +
+                  std::to_string(ahead) + " answered ahead), " + std::to_string(repeats) + " repeats, " +
+                  std::to_string(corrections) + " corrections; " +
+                  (faults.empty() ? "adds up by tenant and volume\n" : "WRONG\n");
   for (const auto& f : faults) s += "  " + f + "\n";
   return s;
 }
@@ -38,7 +42,8 @@
   for (const Event& e : events) {
     if (e.kind == Kind::kSent) sent[e.label] = &e;
     if (e.kind == Kind::kLost || e.kind == Kind::kLeft) broken.insert(e.label);
-    if (e.kind == Kind::kAnswer && e.outcome == "honoured") told[e.label] = {e.volume, static_cast<std::int64_t>(e.units)};
+    if (e.kind == Kind::kAnswer && e.outcome == "honoured")
+      told[e.label] = {e.volume, static_cast<std::int64_t>(e.units)};
   }
   b.honoured = told.size();
   {
@@ -64,7 +69,8 @@
   options.most_in_memory = 1000;  // so that there are runs to merge
   std::vector<ledger::Found> found;
   ledger::Reconciled r;
-  if (!ledger::reconcile(files, folders, options, [&](const ledger::Found& f) { found.push_back(f); }, r, fault)) {
+  if (!ledger::reconcile(
+          files, folders, options, [&](const ledger::Found& f) { found.push_back(f); }, r, fault)) {
     wrong(fault.shown());
     return b;
   }
@@ -73,11 +79,14 @@
   std::uint64_t not_entered = 0;
   for (const auto& f : found) {
     if (f.what == ledger::Finding::kBilledTwice) ++b.twice;
-    if (f.what == ledger::Finding::kUnitsDiffer) wrong("identity " + std::to_string(f.identity) + " was billed with other units");
+    if (f.what == ledger::Finding::kUnitsDiffer)
+      wrong("identity " + std::to_string(f.identity) + " was billed with other units");
     if (f.what == ledger::Finding::kNotInLedgers) ++not_entered;
     if (f.what != ledger::Finding::kNotByClients) continue;
     ++b.in_flight;
-    if (!broken.contains(f.identity)) wrong("identity " + std::to_string(f.identity) + " is billed, no client was told, and no connection broke");
+    if (!broken.contains(f.identity))
+      wrong("identity " + std::to_string(f.identity) +
+            " is billed, no client was told, and no connection broke");
   }
   b.lost = not_entered;
   if (not_entered > b.ahead) wrong(std::to_string(not_entered) + " honoured transactions are in no ledger");
@@ -106,13 +115,17 @@
     }
   }
   found.clear();
-  if (!ledger::reconcile(files, folders, options, [&](const ledger::Found& f) { found.push_back(f); }, r, fault)) wrong(fault.shown());
-  if (found.size() != not_entered) wrong("a second reconciliation finds " + std::to_string(found.size()) + " more");
+  if (!ledger::reconcile(
+          files, folders, options, [&](const ledger::Found& f) { found.push_back(f); }, r, fault))
+    wrong(fault.shown());
+  if (found.size() != not_entered)
+    wrong("a second reconciliation finds " + std::to_string(found.size()) + " more");
 
   // Bills, by tenant and volume.
   std::map<std::pair<std::string, std::uint32_t>, std::int64_t> due;
   std::map<std::pair<std::string, std::uint32_t>, std::int64_t> billed;
-  for (const auto& [label, t] : told) due[{tenant_of(t.volume), static_cast<std::uint32_t>(t.volume + 1)}] += t.units;
+  for (const auto& [label, t] : told)
+    due[{tenant_of(t.volume), static_cast<std::uint32_t>(t.volume + 1)}] += t.units;
   std::set<std::int64_t> periods;
   for (const std::string& f : folders) {
     ledger::LedgerFacts facts;
@@ -123,7 +136,8 @@
   for (int tenant = 0; tenant < 7; ++tenant) {
     for (const std::int64_t p : periods) {
       ledger::Statement s;
-      if (!ledger::make_statement(files, folders, tenant_of(tenant), p, s, fault)) return wrong(fault.shown()), b;
+      if (!ledger::make_statement(files, folders, tenant_of(tenant), p, s, fault))
+        return wrong(fault.shown()), b;
       if (s.sealed && !s.lines.empty() && b.statement.empty()) b.statement = ledger::as_text(s);
       std::int64_t lines = 0;
       for (const auto& [key, l] : s.lines) {
@@ -137,10 +151,13 @@
   }
   if (not_entered == 0) {
     for (const auto& [key, units] : due) {
-      if (billed[key] != units) wrong(key.first + ", volume " + std::to_string(key.second) + ": " + std::to_string(billed[key]) + " units billed, " + std::to_string(units) + " honoured");
+      if (billed[key] != units)
+        wrong(key.first + ", volume " + std::to_string(key.second) + ": " + std::to_string(billed[key]) +
+              " units billed, " + std::to_string(units) + " honoured");
     }
     for (const auto& [key, units] : billed) {
-      if (units != 0 && !due.contains(key)) wrong(key.first + ", volume " + std::to_string(key.second) + ": billed without use");
+      if (units != 0 && !due.contains(key))
+        wrong(key.first + ", volume " + std::to_string(key.second) + ": billed without use");
     }
   }
   return b;
--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -1,14 +1,14 @@
 // Days: see day.h.
 #include "lab/day.h"
 
-#include "lab/bills.h"
-#include "lab/day_rules.h"
-
 #include <algorithm>
 #include <cmath>
 #include <numeric>
 #include <sstream>
 
+#include "lab/bills.h"
+#include "lab/day_rules.h"
+
 namespace heronworks::lab {
 namespace {
 
@@ -28,14 +28,27 @@
 
 Target target_of(Trouble t) {
   switch (t) {
-    case Trouble::kSlow: case Trouble::kHang: case Trouble::kFastErrors: case Trouble::kAnswersLost:
-    case Trouble::kAgeing: case Trouble::kPauses: case Trouble::kCrash: case Trouble::kDrain:
+    case Trouble::kSlow:
+    case Trouble::kHang:
+    case Trouble::kFastErrors:
+    case Trouble::kAnswersLost:
+    case Trouble::kAgeing:
+    case Trouble::kPauses:
+    case Trouble::kCrash:
+    case Trouble::kDrain:
       return Target::kNode;
-    case Trouble::kSchedulerKilled: case Trouble::kSchedulerStopped: case Trouble::kClientLeaves: case Trouble::kDiskFull:
+    case Trouble::kSchedulerKilled:
+    case Trouble::kSchedulerStopped:
+    case Trouble::kClientLeaves:
+    case Trouble::kDiskFull:
       return Target::kScheduler;
-    case Trouble::kPlanSurge: case Trouble::kHeavy: return Target::kPlan;
-    case Trouble::kVolumeSurge: return Target::kVolume;
-    default: return Target::kAll;
+    case Trouble::kPlanSurge:
+    case Trouble::kHeavy:
+      return Target::kPlan;
+    case Trouble::kVolumeSurge:
+      return Target::kVolume;
+    default:
+      return Target::kAll;
   }
 }
 
@@ -71,7 +84,8 @@
       std::swap(order[i - 1], order[static_cast<std::size_t>(draw_int(random, 0, static_cast<int>(i) - 1))]);
     }
     if (named.empty()) {
-      const auto count = static_cast<std::size_t>(std::clamp(std::lround(part * all), 1L, static_cast<long>(all)));
+      const auto count =
+          static_cast<std::size_t>(std::clamp(std::lround(part * all), 1L, static_cast<long>(all)));
       named.assign(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(count));
     }
     for (const double n : named) {
@@ -91,10 +105,25 @@
 }  // namespace
 
 const std::vector<std::string>& trouble_names() {
-  static const std::vector<std::string> kNames = {
-      "slow",      "hang",         "fast_errors", "answers_lost", "ageing",      "pauses",
-      "heavy",     "crash",        "drain",       "list_down",    "reports_late", "surge",
-      "plan_surge", "volume_surge", "lead_moves",  "scheduler_killed", "scheduler_stopped", "client_leaves", "disk_full"};
+  static const std::vector<std::string> kNames = {"slow",
+                                                  "hang",
+                                                  "fast_errors",
+                                                  "answers_lost",
+                                                  "ageing",
+                                                  "pauses",
+                                                  "heavy",
+                                                  "crash",
+                                                  "drain",
+                                                  "list_down",
+                                                  "reports_late",
+                                                  "surge",
+                                                  "plan_surge",
+                                                  "volume_surge",
+                                                  "lead_moves",
+                                                  "scheduler_killed",
+                                                  "scheduler_stopped",
+                                                  "client_leaves",
+                                                  "disk_full"};
   return kNames;
 }
 
@@ -181,7 +210,8 @@
   for (config::Section& w : root.list("work")) {
     Work work;
     work.profile = w.one_of("profile", d.profile_names, -1);
-    work.operation = static_cast<config::Operation>(std::max(0, w.one_of("operation", {"read", "write", "append"}, -1)));
+    work.operation =
+        static_cast<config::Operation>(std::max(0, w.one_of("operation", {"read", "write", "append"}, -1)));
     work.share = w.number("share", 1, 0, 1e6);
     work.least_units = static_cast<int>(w.integer("least_units", 1, 1, 1024));
     work.most_units = static_cast<int>(w.integer("most_units", work.least_units, work.least_units, 1024));
@@ -269,50 +299,55 @@
   t.precision(12);
   const Settings& s = day.settings;
   t << "# scheduler " << index << " of the day '" << day.name << "'\n[scheduler]\nindex = " << index
-    << "\nschedulers = " << day.schedulers << "\nseed = " << day.seed * 1000 + static_cast<std::uint64_t>(index) + 1
-    << "\nlisten = \"127.0.0.1:" << port << "\"\n[list]\naddress = \"127.0.0.1:" << list_port << "\"\nsaved = \""
-    << folder << "/list-" << index << ".json\"\n[nodes]\nkeep_alive = 30.0\n[space]\nblock_bytes = "
-    << day.block_bytes << "\nzone_blocks = " << day.zone_blocks << "\nzones = " << day.zones_a_volume
-    << "\nshards = " << day.nodes << "\nunit_blocks = " << day.unit_blocks << "\nkey_blocks = " << day.key_blocks
-    << "\n[log]\nfile = \"" << folder << "/scheduler-" << index << ".log\"\n";
-  if (day.ledger_period > 0) t << "[ledger]\nfolder = \"" << ledger_folder(folder, index) << "\"\nperiod = " << day.ledger_period << "\n";
+    << "\nschedulers = " << day.schedulers
+    << "\nseed = " << day.seed * 1000 + static_cast<std::uint64_t>(index) + 1
+    << "\nlisten = \"127.0.0.1:" << port << "\"\n[list]\naddress = \"127.0.0.1:" << list_port
+    << "\"\nsaved = \"" << folder << "/list-" << index
+    << ".json\"\n[nodes]\nkeep_alive = 30.0\n[space]\nblock_bytes = " << day.block_bytes
+    << "\nzone_blocks = " << day.zone_blocks << "\nzones = " << day.zones_a_volume
+    << "\nshards = " << day.nodes << "\nunit_blocks = " << day.unit_blocks
+    << "\nkey_blocks = " << day.key_blocks << "\n[log]\nfile = \"" << folder << "/scheduler-" << index
+    << ".log\"\n";
+  if (day.ledger_period > 0)
+    t << "[ledger]\nfolder = \"" << ledger_folder(folder, index) << "\"\nperiod = " << day.ledger_period
+      << "\n";
   const char* repeats[] = {"redoable", "labelled", "irreversible"};
   const char* groups[] = {"all", "zone", "cell"};
   for (std::size_t i = 0; i < s.profiles.size(); ++i) {
     const Profile& p = s.profiles[i];
     t << "[[profile]]\nname = \"" << day.profile_names[i] << "\"\ncontract = " << p.contract
-      << "\ncut_off = " << p.cut_off << "\nbenefit = " << p.benefit
-      << "\nrepeat = \"" << repeats[static_cast<int>(p.repeat)] << "\"\ngroup = \""
-      << groups[static_cast<int>(p.group)] << "\"\nlabel_window = " << p.label_window
-      << "\nin_order = " << (p.in_order ? "true" : "false") << "\n";
+      << "\ncut_off = " << p.cut_off << "\nbenefit = " << p.benefit << "\nrepeat = \""
+      << repeats[static_cast<int>(p.repeat)] << "\"\ngroup = \"" << groups[static_cast<int>(p.group)]
+      << "\"\nlabel_window = " << p.label_window << "\nin_order = " << (p.in_order ? "true" : "false")
+      << "\n";
   }
   for (std::size_t i = 0; i < s.plans.size(); ++i) {
     const Plan& p = s.plans[i];
-    t << "[[plan]]\nname = \"" << day.plan_names[i] << "\"\nusual = " << p.usual << "\nreservation = "
-      << p.reservation << "\nlimit = " << p.limit << "\nburst = " << p.burst << "\nweight = " << p.weight
-      << "\nbenefit_factor = " << p.benefit_factor << "\n";
+    t << "[[plan]]\nname = \"" << day.plan_names[i] << "\"\nusual = " << p.usual
+      << "\nreservation = " << p.reservation << "\nlimit = " << p.limit << "\nburst = " << p.burst
+      << "\nweight = " << p.weight << "\nbenefit_factor = " << p.benefit_factor << "\n";
   }
-  t << "[sharing]\nlargest_units = " << s.largest_units << "\nmean_units = " << s.mean_units << "\nshare_part = "
-    << s.share_part << "\nspare_part = " << s.spare_part << "\ndispatch_cap = " << s.dispatch_cap
-    << "\nmax_wait = " << s.max_wait << "\nturn_gap = " << s.turn_gap << "\n";
+  t << "[sharing]\nlargest_units = " << s.largest_units << "\nmean_units = " << s.mean_units
+    << "\nshare_part = " << s.share_part << "\nspare_part = " << s.spare_part
+    << "\ndispatch_cap = " << s.dispatch_cap << "\nmax_wait = " << s.max_wait << "\nturn_gap = " << s.turn_gap
+    << "\n";
   if (s.has_budget)
-    t << "[budget]\nfree = " << s.budget_free << "\nshare = " << s.budget_share << "\nwindow = " << s.budget_window
-      << "\n";
+    t << "[budget]\nfree = " << s.budget_free << "\nshare = " << s.budget_share
+      << "\nwindow = " << s.budget_window << "\n";
   if (s.has_cold_rule)
     t << "[cold]\nshare = " << s.cold_share << "\ntime = " << s.cold_time << "\nfall_time = " << s.fall_time
       << "\ntip_multiple = " << s.tip_multiple << "\nsafe_units = " << s.cold_units << "\n";
   const char* operations[] = {"read", "write", "append"};
   for (const config::Rule& r : day.matches) {
     t << "[[match]]\noperation = \"" << (r.operation ? operations[static_cast<int>(*r.operation)] : "any")
-      << "\"\nleast_blocks = " << r.least_blocks << "\nmost_blocks = " << r.most_blocks
-      << "\nprofile = \"" << day.profile_names[static_cast<std::size_t>(r.profile)] << "\"\n";
+      << "\"\nleast_blocks = " << r.least_blocks << "\nmost_blocks = " << r.most_blocks << "\nprofile = \""
+      << day.profile_names[static_cast<std::size_t>(r.profile)] << "\"\n";
   }
   const auto volumes = volumes_of(day);
   for (std::size_t i = 0; i < volumes.size(); ++i) {
     t << "[[volumes]]\nfirst = " << i + 1 << "\nplan = \""
-      << day.plan_names[static_cast<std::size_t>(volumes[i].plan)] << "\"\ntenant = \"" << tenant_of(static_cast<int>(i))
-      << "\"\nhosts = " << volumes[i].schedulers.size()
-      << "\n";
+      << day.plan_names[static_cast<std::size_t>(volumes[i].plan)] << "\"\ntenant = \""
+      << tenant_of(static_cast<int>(i)) << "\"\nhosts = " << volumes[i].schedulers.size() << "\n";
   }
   return t.str();
 }
--- a/src/lab/day.h
+++ b/src/lab/day.h
@@ -28,8 +28,25 @@
 };
 
 enum class Trouble {
-  kSlow, kHang, kFastErrors, kAnswersLost, kAgeing, kPauses, kHeavy, kCrash, kDrain, kListDown, kReportsLate,
-  kSurge, kPlanSurge, kVolumeSurge, kLeadMoves, kSchedulerKilled, kSchedulerStopped, kClientLeaves, kDiskFull,
+  kSlow,
+  kHang,
+  kFastErrors,
+  kAnswersLost,
+  kAgeing,
+  kPauses,
+  kHeavy,
+  kCrash,
+  kDrain,
+  kListDown,
+  kReportsLate,
+  kSurge,
+  kPlanSurge,
+  kVolumeSurge,
+  kLeadMoves,
+  kSchedulerKilled,
+  kSchedulerStopped,
+  kClientLeaves,
+  kDiskFull,
 };
 
 const std::vector<std::string>& trouble_names();
@@ -39,7 +56,7 @@
   Trouble trouble = Trouble::kSlow;
   double from = 0;
   double to = 0;
-  int target = -1;    // node, scheduler, plan or volume; -1: all
+  int target = -1;  // node, scheduler, plan or volume; -1: all
   double size = 1;
   bool by_reset = false;
 };
@@ -77,31 +94,31 @@
   double work_spread = 0.3;  // coefficient of variation of a command's work
   double deferred = 0;       // part of a write's work that is done at the next flush
   double flush_every = 2;
-  double pause_every = 0;    // 0: none
+  double pause_every = 0;  // 0: none
   double pause_time = 0.1;
   double meter_late = 0.3;
   double repeat_saving = 0.9;
 
   // The list.
-  double notice = 0.3;       // s from a change to its being listed
+  double notice = 0.3;  // s from a change to its being listed
   double call_time = 0.002;
 
   // Clients.
-  int connections = 2;       // to each scheduler
-  double load = 0.5;         // of what the nodes can do
-  bool retry_lost = false;   // also what was redoable when its connection broke, through another scheduler
+  int connections = 2;      // to each scheduler
+  double load = 0.5;        // of what the nodes can do
+  bool retry_lost = false;  // also what was redoable when its connection broke, through another scheduler
   int retries = 1;
   double backoff = 0.05;
-  double lead_part = 0.6;    // of a volume's traffic that its leading scheduler gets
+  double lead_part = 0.6;  // of a volume's traffic that its leading scheduler gets
 
-  double ledger_period = 0;  // s; 0: the schedulers keep no ledgers
-  std::string rules;         // [[rule]] and [sets] for the schedulers, TOML as written
+  double ledger_period = 0;                         // s; 0: the schedulers keep no ledgers
+  std::string rules;                                // [[rule]] and [sets] for the schedulers, TOML as written
   std::shared_ptr<const config::Rules> read_rules;  // the same, for the stand-ins and the checker
 
-  std::vector<Act> acts;     // in order of time
+  std::vector<Act> acts;  // in order of time
 
   int volumes() const;
-  double capacity() const;   // units a second of all nodes, at speed 1 and in the mean of speeds
+  double capacity() const;  // units a second of all nodes, at speed 1 and in the mean of speeds
 };
 
 // Complete, checked and with its troubles drawn, or nothing and the problems. `seed` 0: the file's.
@@ -110,8 +127,8 @@
 // What a volume is, the same for all who ask: from the day's seed.
 struct VolumeFacts {
   int plan = 0;
-  double share = 0;               // of the usual traffic
-  std::vector<int> schedulers;    // the first leads at the start
+  double share = 0;             // of the usual traffic
+  std::vector<int> schedulers;  // the first leads at the start
   std::vector<int> shards;
 };
 std::vector<VolumeFacts> volumes_of(const Day& day);
--- a/src/lab/day_rules.cpp
+++ b/src/lab/day_rules.cpp
@@ -41,12 +41,14 @@
 
 std::shared_ptr<const config::Rules> DayRules::read(const std::string& text, const std::string& file,
                                                     const std::vector<std::string>& profile_names,
-                                                    const std::vector<Profile>& profiles, config::Problems& problems) {
+                                                    const std::vector<Profile>& profiles,
+                                                    config::Problems& problems) {
   toml::table table;
   try {
     table = toml::parse(text);
   } catch (const toml::parse_error& e) {
-    problems.push_back({file, e.source().begin.line, e.source().begin.column, "rules.text", std::string(e.description())});
+    problems.push_back(
+        {file, e.source().begin.line, e.source().begin.column, "rules.text", std::string(e.description())});
     return nullptr;
   }
   config::Section root(table, "rules.text", file, problems);
@@ -55,7 +57,8 @@
   for (std::size_t i = 0; i < rules->set.size(); ++i) {
     const expr::Rule& r = rules->set.rule(static_cast<int>(i));
     if (r.turn_back.empty() && (r.profile >= 0 || r.key) && (!r.stable || r.most_share < 1))
-      root.complain("rule", "'" + r.name + "' gives a profile or key, and so must hold for all tries and have no share");
+      root.complain("rule", "'" + r.name +
+                                "' gives a profile or key, and so must hold for all tries and have no share");
     if (r.units) root.complain("rule", "'" + r.name + "' sets units; stand-in nodes charge their own");
   }
   return std::make_shared<const config::Rules>(std::move(*rules));
--- a/src/lab/disk.cpp
+++ b/src/lab/disk.cpp
@@ -12,7 +12,8 @@
 
 Mapping::Mapping(const std::string& path, std::size_t bytes) : bytes_(bytes) {
   Fd fd(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644));
-  if (!fd || ::ftruncate(fd.get(), static_cast<off_t>(bytes)) != 0) throw std::runtime_error("cannot map " + path);
+  if (!fd || ::ftruncate(fd.get(), static_cast<off_t>(bytes)) != 0)
+    throw std::runtime_error("cannot map " + path);
   void* p = ::mmap(nullptr, bytes, PROT_READ | PROT_WRITE, MAP_SHARED, fd.get(), 0);
   if (p == MAP_FAILED) throw std::runtime_error("cannot map " + path);
   data_ = static_cast<std::uint8_t*>(p);
@@ -32,7 +33,8 @@
   const std::uint64_t zone = lba / day_.zone_blocks;
   const auto nodes = static_cast<std::uint64_t>(day_.nodes);
   if (volume < 0 || volume >= day_.volumes() || zone >= day_.zones_a_volume ||
-      zone % nodes != static_cast<std::uint64_t>(shard_) || lba % day_.zone_blocks + blocks > day_.zone_blocks)
+      zone % nodes != static_cast<std::uint64_t>(shard_) ||
+      lba % day_.zone_blocks + blocks > day_.zone_blocks)
     return std::nullopt;
   const std::uint64_t index = static_cast<std::uint64_t>(volume) * zones_here_ + zone / nodes;
   return std::span(mapping_.data() + table_ + index * zone_bytes_ + lba % day_.zone_blocks * day_.block_bytes,
@@ -51,7 +53,9 @@
     if (used + blocks > day_.zone_blocks) continue;
     const std::uint32_t next = used + blocks;
     std::memcpy(place, &next, 4);
-    return (own * static_cast<std::uint64_t>(day_.nodes) + static_cast<std::uint64_t>(shard_)) * day_.zone_blocks + used;
+    return (own * static_cast<std::uint64_t>(day_.nodes) + static_cast<std::uint64_t>(shard_)) *
+               day_.zone_blocks +
+           used;
   }
   return std::nullopt;
 }
--- a/src/lab/disk.h
+++ b/src/lab/disk.h
@@ -1,5 +1,5 @@
-// The bytes of one shard, in a mapped sparse file, so that a process that replaces another finds them; and the
-// meter, a mapped file in which all nodes count what they served.
+// The bytes of one shard, in a mapped sparse file, so that a process that replaces another finds them; and
+// the meter, a mapped file in which all nodes count what they served.
 #pragma once
 
 #include <atomic>
@@ -14,7 +14,8 @@
 
 class Mapping {
  public:
-  Mapping(const std::string& path, std::size_t bytes);  // created and sized at need; throws std::runtime_error
+  Mapping(const std::string& path,
+          std::size_t bytes);  // created and sized at need; throws std::runtime_error
   ~Mapping();
   Mapping(const Mapping&) = delete;
   Mapping& operator=(const Mapping&) = delete;
@@ -38,7 +39,7 @@
   const int shard_;
   const std::uint64_t zones_here_;  // of each volume
   const std::uint64_t zone_bytes_;
-  const std::size_t table_;         // bytes of the write pointers before the blocks
+  const std::size_t table_;  // bytes of the write pointers before the blocks
   Mapping mapping_;
 };
 
--- a/src/lab/list.cpp
+++ b/src/lab/list.cpp
@@ -36,8 +36,9 @@
 
 bool StandInList::down() const {
   const double t = loop_.now() - start_;
-  return std::any_of(day_.acts.begin(), day_.acts.end(),
-                     [&](const Act& a) { return a.trouble == Trouble::kListDown && t >= a.from && t < a.to; });
+  return std::any_of(day_.acts.begin(), day_.acts.end(), [&](const Act& a) {
+    return a.trouble == Trouble::kListDown && t >= a.from && t < a.to;
+  });
 }
 
 nvme::Status StandInList::identify(std::uint8_t cns, std::uint8_t, std::uint32_t, nvme::Bytes& page) {
@@ -89,9 +90,10 @@
   return page;
 }
 
-void StandInList::log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page, std::uint64_t offset,
-                           std::uint32_t length) {
-  if (page != nvme::kLogDiscovery) return void(target_->complete(connection, cid, nvme::status::kInvalidLogPage));
+void StandInList::log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page,
+                           std::uint64_t offset, std::uint32_t length) {
+  if (page != nvme::kLogDiscovery)
+    return void(target_->complete(connection, cid, nvme::status::kInvalidLogPage));
   if (down()) return;
   loop_.at(loop_.now() + day_.call_time, [this, connection, cid, offset, length] {
     Event told;
--- a/src/lab/list.h
+++ b/src/lab/list.h
@@ -12,8 +12,8 @@
 class StandInList final : public nvme::Backend {
  public:
   // `ports`: of the nodes, by number.
-  StandInList(Loop& loop, const Day& day, const Address& listen, double start, std::vector<std::uint16_t> ports,
-              Recorder& record);
+  StandInList(Loop& loop, const Day& day, const Address& listen, double start,
+              std::vector<std::uint16_t> ports, Recorder& record);
 
   nvme::Status identify(std::uint8_t cns, std::uint8_t csi, std::uint32_t nsid, nvme::Bytes& page) override;
   void command(nvme::Command&& command) override;
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -10,10 +10,10 @@
 namespace heronworks::lab {
 namespace {
 
-constexpr std::size_t kObjects = 32;      // fresh objects that are remembered of each volume
-constexpr double kReconnect = 0.1;        // s between two tries to connect
-constexpr double kBeat = 0.02;            // s between two looks at the sockets, at most: see Loop::earliest_arrival
-constexpr double kStopAfter = 12.0;       // s after the last arrival at which what is open is left to the verdict
+constexpr std::size_t kObjects = 32;  // fresh objects that are remembered of each volume
+constexpr double kReconnect = 0.1;    // s between two tries to connect
+constexpr double kBeat = 0.02;  // s between two looks at the sockets, at most: see Loop::earliest_arrival
+constexpr double kStopAfter = 12.0;  // s after the last arrival at which what is open is left to the verdict
 
 // Bytes that tell of which write and which block they are.
 nvme::SharedBytes pattern(std::uint64_t label, std::uint32_t blocks, std::uint32_t block_bytes) {
@@ -33,7 +33,8 @@
 // One connection to one scheduler.
 class Load::Client final : public nvme::HostOwner {
  public:
-  Client(Load& load, int number, int via, std::uint16_t port) : load_(load), number_(number), via_(via), port_(port) {
+  Client(Load& load, int number, int via, std::uint16_t port)
+      : load_(load), number_(number), via_(via), port_(port) {
     connect();
   }
   ~Client() override { *alive_ = false; }
@@ -154,7 +155,8 @@
 
 void Load::lead_moves() {
   for (auto& v : volumes_) {
-    if (v.schedulers.size() > 1 && draw(0, 1) < 0.5) std::rotate(v.schedulers.begin(), v.schedulers.begin() + 1, v.schedulers.end());
+    if (v.schedulers.size() > 1 && draw(0, 1) < 0.5)
+      std::rotate(v.schedulers.begin(), v.schedulers.begin() + 1, v.schedulers.end());
   }
 }
 
@@ -164,7 +166,8 @@
   for (const Act& a : day_.acts) {
     if (t < a.from || t >= a.to) continue;
     if (a.trouble == Trouble::kSurge) factor *= a.size;
-    if (a.trouble == Trouble::kPlanSurge && a.target == volumes_[static_cast<std::size_t>(volume)].plan) factor *= a.size;
+    if (a.trouble == Trouble::kPlanSurge && a.target == volumes_[static_cast<std::size_t>(volume)].plan)
+      factor *= a.size;
     if (a.trouble == Trouble::kVolumeSurge && a.target == volume) factor *= a.size;
   }
   return factor;
@@ -212,15 +215,19 @@
     t.units = std::floor(draw(work.least_units, work.most_units + 0.999999));
     auto blocks = static_cast<std::uint32_t>(t.units) * day_.unit_blocks;
     // Somewhere among the places of its shards that are written in place.
-    const auto shard = static_cast<std::uint64_t>(v.shards[static_cast<std::size_t>(draw(0, 0.999999) * static_cast<double>(v.shards.size()))]);
+    const auto shard = static_cast<std::uint64_t>(
+        v.shards[static_cast<std::size_t>(draw(0, 0.999999) * static_cast<double>(v.shards.size()))]);
     const auto nodes = static_cast<std::uint64_t>(day_.nodes);
     const std::uint64_t here = day_.zones_a_volume / nodes;
-    const auto own = static_cast<std::uint64_t>(draw(0, 0.999999) * static_cast<double>(std::max<std::uint64_t>(here / 2, 1)));
+    const auto own = static_cast<std::uint64_t>(draw(0, 0.999999) *
+                                                static_cast<double>(std::max<std::uint64_t>(here / 2, 1)));
     const std::uint64_t zone = own * nodes + shard;
     const auto places = day_.zone_blocks / blocks;
-    std::uint64_t lba = zone * day_.zone_blocks + static_cast<std::uint64_t>(draw(0, 0.999999) * places) * blocks;
+    std::uint64_t lba =
+        zone * day_.zone_blocks + static_cast<std::uint64_t>(draw(0, 0.999999) * places) * blocks;
     if (work.operation == config::Operation::kRead && draw(0, 1) < work.fresh && !objects_[volume].empty()) {
-      const auto& o = objects_[volume][static_cast<std::size_t>(draw(0, 0.999999) * static_cast<double>(objects_[volume].size()))];
+      const auto& o = objects_[volume][static_cast<std::size_t>(
+          draw(0, 0.999999) * static_cast<double>(objects_[volume].size()))];
       const auto most = static_cast<std::uint32_t>(work.most_units) * day_.unit_blocks;
       lba = o.lba;
       blocks = std::min(o.blocks, most);
@@ -233,7 +240,9 @@
         t.sqe.opcode = nvme::opcode::kRead;
         t.in = blocks * day_.block_bytes;
         break;
-      case config::Operation::kWrite: t.sqe.opcode = nvme::opcode::kWrite; break;
+      case config::Operation::kWrite:
+        t.sqe.opcode = nvme::opcode::kWrite;
+        break;
       case config::Operation::kAppend:
         t.sqe.opcode = nvme::opcode::kZoneAppend;
         lba = 0;
@@ -276,7 +285,8 @@
 }
 
 Load::Client& Load::client_of(int volume, int via) {
-  // All of one volume's transactions through one scheduler go by one connection, so that order means something.
+  // All of one volume's transactions through one scheduler go by one connection, so that order means
+  // something.
   std::vector<Client*> to;
   for (auto& c : clients_) {
     if (c->via() == via) to.push_back(c.get());
@@ -343,12 +353,13 @@
   check_finished();
 }
 
-// Its connection broke: whether it was honoured, nobody knows; what may be done again is, through another scheduler.
+// Its connection broke: whether it was honoured, nobody knows; what may be done again is, through another
+// scheduler.
 void Load::again_elsewhere(Transaction t) {
   const auto& profile = day_.settings.profiles[static_cast<std::size_t>(t.profile)];
   const auto& hosts = volumes_[static_cast<std::size_t>(t.volume)].schedulers;
-  if (!day_.retry_lost || profile.repeat != Repeat::kRedoable || hosts.size() < 2 || t.attempt >= day_.retries ||
-      loop_.now() + day_.backoff + 0.05 >= t.until)
+  if (!day_.retry_lost || profile.repeat != Repeat::kRedoable || hosts.size() < 2 ||
+      t.attempt >= day_.retries || loop_.now() + day_.backoff + 0.05 >= t.until)
     return;
   t.via = hosts[0] == t.via ? hosts[1] : hosts[0];
   ++t.attempt;
@@ -361,7 +372,9 @@
 }
 
 void Load::check_finished() {
-  if (loop_.now() - start_ >= day_.seconds && next_at_ - start_ >= day_.seconds && open_ == 0 && retrying_ == 0) finish();
+  if (loop_.now() - start_ >= day_.seconds && next_at_ - start_ >= day_.seconds && open_ == 0 &&
+      retrying_ == 0)
+    finish();
 }
 
 void Load::finish() {
@@ -377,8 +390,10 @@
     acting += " " + trouble_names()[static_cast<std::size_t>(a.trouble)];
     if (a.target >= 0) acting += ":" + std::to_string(a.target);
   }
-  std::printf("%3.0f s  sent %4d  honoured %4d (in time %4d)  turned back %4d  given up %3d  errors %3d  lost %3d %s\n",
-              t, c.sent, c.honoured, c.in_time, c.turned_back, c.given_up, c.errors, c.lost, acting.c_str());
+  std::printf(
+      "%3.0f s  sent %4d  honoured %4d (in time %4d)  turned back %4d  given up %3d  errors %3d  lost %3d "
+      "%s\n",
+      t, c.sent, c.honoured, c.in_time, c.turned_back, c.given_up, c.errors, c.lost, acting.c_str());
   std::fflush(stdout);
   loop_.at(start_ + std::floor(t + 0.5) + 1, [this] { second(); });
 }
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -79,13 +79,15 @@
   if (!day) return 2;
   lab::RunOptions o;
   o.self = std::filesystem::read_symlink("/proc/self/exe").string();
-  o.scheduler = w.scheduler.empty() ? std::filesystem::path(o.self).replace_filename("heronworks").string() : w.scheduler;
+  o.scheduler = w.scheduler.empty() ? std::filesystem::path(o.self).replace_filename("heronworks").string()
+                                    : w.scheduler;
   o.folder = w.folder;
   o.quiet = w.quiet;
   o.lead = w.lead;
   o.withhold_rules = w.withhold_rules;
-  std::printf("%s: %g s, %d schedulers, %d nodes, %d volumes, seed %llu; stand-ins on one machine\n", day->name.c_str(),
-              day->seconds, day->schedulers, day->nodes, day->volumes(), static_cast<unsigned long long>(day->seed));
+  std::printf("%s: %g s, %d schedulers, %d nodes, %d volumes, seed %llu; stand-ins on one machine\n",
+              day->name.c_str(), day->seconds, day->schedulers, day->nodes, day->volumes(),
+              static_cast<unsigned long long>(day->seed));
   std::fflush(stdout);
   const auto result = lab::run_day(*day, o);
   std::printf("\n%s", result.verdict.table(result.start).c_str());
--- a/src/lab/node.cpp
+++ b/src/lab/node.cpp
@@ -60,7 +60,8 @@
 const Act* StandInNode::acting(Trouble trouble) const {
   const double t = day_time();
   for (const Act& a : day_.acts) {
-    if (a.trouble == trouble && t >= a.from && t < a.to && (a.target < 0 || a.target == options_.number)) return &a;
+    if (a.trouble == trouble && t >= a.from && t < a.to && (a.target < 0 || a.target == options_.number))
+      return &a;
   }
   return nullptr;
 }
@@ -69,7 +70,8 @@
 double StandInNode::frac() const {
   if (!cold_ || !day_.settings.has_cold_rule) return 1;
   const double age = (loop_.now() - came_up_) / day_.settings.cold_time;
-  return std::clamp(day_.settings.cold_share + (1 - day_.settings.cold_share) * age, day_.settings.cold_share, 1.0);
+  return std::clamp(day_.settings.cold_share + (1 - day_.settings.cold_share) * age, day_.settings.cold_share,
+                    1.0);
 }
 
 double StandInNode::slowness() const {
@@ -108,7 +110,8 @@
   target_->complete(connection, cid, nvme::status::kInvalidLogPage);
 }
 
-void StandInNode::admitted(nvme::ConnectionId connection, const std::string& host, bool admin, const Address&) {
+void StandInNode::admitted(nvme::ConnectionId connection, const std::string& host, bool admin,
+                           const Address&) {
   if (!admin) via_[connection] = number_at_end(host);
 }
 
@@ -140,7 +143,8 @@
   const bool append = sqe.opcode == nvme::opcode::kZoneAppend;
   job.profile = profile_of(sqe.label());
   const int volume = static_cast<int>(sqe.nsid) - 1;
-  if (volume >= 0 && volume < static_cast<int>(volumes_.size())) job.plan = volumes_[static_cast<std::size_t>(volume)].plan;
+  if (volume >= 0 && volume < static_cast<int>(volumes_.size()))
+    job.plan = volumes_[static_cast<std::size_t>(volume)].plan;
   job.expires = job.c.at + (sqe.time_left() > 0 ? sqe.time_left() : 3600);
 
   // The work: by units, with some spread, now and then heavy.
@@ -174,7 +178,8 @@
   if (const Act* a = acting(Trouble::kFastErrors); a && draw(0, 1) < a->size) {
     return reply(job, nvme::status::kInternal, "error");
   }
-  const auto& profile = day_.settings.profiles[static_cast<std::size_t>(std::clamp(job.profile, 0, static_cast<int>(day_.settings.profiles.size()) - 1))];
+  const auto& profile = day_.settings.profiles[static_cast<std::size_t>(
+      std::clamp(job.profile, 0, static_cast<int>(day_.settings.profiles.size()) - 1))];
   if (profile.repeat == Repeat::kLabelled && job.write) {
     std::erase_if(done_, [&](const auto& d) { return d.second.at < now - profile.label_window; });
     job.repeat = done_.contains({sqe.nsid, sqe.label()});
@@ -270,7 +275,8 @@
     const auto to = disk_.at(volume, lba, sqe.blocks());
     std::memcpy(to->data(), job.c.data.data(), job.c.data.size());
     e.hash = XXH3_64bits(job.c.data.data(), job.c.data.size());
-    const auto& profile = day_.settings.profiles[static_cast<std::size_t>(std::clamp(job.profile, 0, static_cast<int>(day_.settings.profiles.size()) - 1))];
+    const auto& profile = day_.settings.profiles[static_cast<std::size_t>(
+        std::clamp(job.profile, 0, static_cast<int>(day_.settings.profiles.size()) - 1))];
     if (profile.repeat == Repeat::kLabelled) done_[{sqe.nsid, sqe.label()}] = {loop_.now(), result};
   } else {
     const auto from = disk_.at(volume, sqe.slba(), sqe.blocks());
--- a/src/lab/node.h
+++ b/src/lab/node.h
@@ -25,7 +25,8 @@
 class StandInNode final : public nvme::Backend {
  public:
   // `fallen` is called once the node was pushed over; it has closed its connections by then.
-  StandInNode(Loop& loop, const Day& day, const NodeOptions& options, Recorder& record, std::function<void()> fallen);
+  StandInNode(Loop& loop, const Day& day, const NodeOptions& options, Recorder& record,
+              std::function<void()> fallen);
 
   Address address() const { return target_->address(); }
   nvme::Status identify(std::uint8_t cns, std::uint8_t csi, std::uint32_t nsid, nvme::Bytes& page) override;
@@ -60,7 +61,8 @@
   bool pushed_over(double cost);
   void next();
   void ran(Job job);
-  void reply(const Job& job, nvme::Status status, const char* outcome, std::uint64_t result = 0, nvme::View data = {});
+  void reply(const Job& job, nvme::Status status, const char* outcome, std::uint64_t result = 0,
+             nvme::View data = {});
   void pause();
   void flush();
   double draw(double from, double to);
@@ -85,11 +87,13 @@
   std::deque<Job> queue_;                            // bounded by the day's queue
   int running_ = 0;
   double still_until_ = 0;
-  double deferred_ = 0;  // s of one core that the next flush does
-  std::deque<std::pair<double, double>> pushed_;     // time and cost of what came while cold; of one fall time
-  std::map<std::pair<std::uint32_t, std::uint64_t>, Done> done_;  // by namespace and label; emptied of what is older than the window
-  std::map<std::pair<int, int>, std::uint64_t> told_;  // by volume and scheduler: units of others at the last answer
-  std::vector<std::uint64_t> served_;                // by volume
+  double deferred_ = 0;                           // s of one core that the next flush does
+  std::deque<std::pair<double, double>> pushed_;  // time and cost of what came while cold; of one fall time
+  std::map<std::pair<std::uint32_t, std::uint64_t>, Done>
+      done_;  // by namespace and label; emptied of what is older than the window
+  std::map<std::pair<int, int>, std::uint64_t>
+      told_;                           // by volume and scheduler: units of others at the last answer
+  std::vector<std::uint64_t> served_;  // by volume
   std::map<std::pair<int, int>, std::uint64_t> served_for_;  // by volume and scheduler
   bool down_ = false;
 };
