--- a/tests/platform/rig.h
+++ b/tests/platform/rig.h
@@ -124,8 +124,9 @@
             {"discovery", discovery.server.address.text()},
             {"seed", "8c1f30d27a5be964"},
             {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", sockets}}},
-            {"known", nlohmann::json::parse(news(7, true, {entry("s-0", node0.server.address, 0),
-                                                           entry("s-1", node1.server.address, 1)}))},
+            {"known",
+             nlohmann::json::parse(news(
+                 7, true, {entry("s-0", node0.server.address, 0), entry("s-1", node1.server.address, 1)}))},
             {"settings", settings()}};
   }
   ~PlatformRig() {
@@ -136,9 +137,10 @@
 
   static nlohmann::json settings() {
     const auto profile = [](const char* name, const char* effect) {
-      return nlohmann::json{{"name", name},      {"aim", 400000},   {"give-up", 2000000}, {"gain", 2.0},
-                            {"effect", effect},  {"group", "cell"}, {"dedup-window", 5000000},
-                            {"late-worth", 0.1}, {"streamed", false}};
+      return nlohmann::json{
+          {"name", name},     {"aim", 400000},   {"give-up", 2000000},      {"gain", 2.0},
+          {"effect", effect}, {"group", "cell"}, {"dedup-window", 5000000}, {"late-worth", 0.1},
+          {"streamed", false}};
     };
     nlohmann::json s;
     s["balancers"] = 1;
@@ -146,8 +148,11 @@
     s["discovery"] = "on_request";
     s["resolution"] = 2000;
     s["family-info"] = {{"largest", 8}, {"mean-units", 2.0}, {"n-shards", 2}, {"writes", {false, true}}};
-    s["allowed"] = {{"attempts-cap", 3},        {"connect-timeout", 250000}, {"idle-close", 30000000},
-                    {"max-retry-after", 1000000}, {"retry-after", true}};
+    s["allowed"] = {{"attempts-cap", 3},
+                    {"connect-timeout", 250000},
+                    {"idle-close", 30000000},
+                    {"max-retry-after", 1000000},
+                    {"retry-after", true}};
     s["rules"] = {{"ask-every", 10000000}, {"stop-sending-within", 250000}};
     s["request-classes"] = {profile("read", "safe"), profile("write", "keyed")};
     s["policies"] = {{{"name", "gold"}, {"nominal", 1000.0}, {"floor-rate", 1000.0}, {"shares", 1.0}}};
--- a/tests/platform/scheduler_test.cpp
+++ b/tests/platform/scheduler_test.cpp
@@ -445,7 +445,8 @@
     setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &small, sizeof small);
     setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
   };
-  test::each_socket(shrink, rig.node0.server.address.port);  // its listener: what it accepts has as little room
+  test::each_socket(shrink,
+                    rig.node0.server.address.port);  // its listener: what it accepts has as little room
   rig.start();
   REQUIRE(rig.ask(rig.request("a")) == 200);
   rig.run(0.04);  // its connection has rested: the next one is written to it
@@ -544,8 +545,9 @@
   }
   SUBCASE("a bad entry is left out, the others count") {
     rig.start();
-    rig.discovery.tell(rig.news(8, false, {rig.entry("s-9", rig.node0.server.address, 0, "Napping"),
-                                           rig.entry("s-0", rig.node0.server.address, 0, "Terminating")}));
+    rig.discovery.tell(rig.news(8, false,
+                                {rig.entry("s-9", rig.node0.server.address, 0, "Napping"),
+                                 rig.entry("s-0", rig.node0.server.address, 0, "Terminating")}));
     rig.run(0.05);
     CHECK(rig.scheduler->nodes() == 2);
     CHECK(rig.ask(rig.request("a")) == 503);
@@ -567,8 +569,9 @@
   for (int i = 0; i < 1000; ++i) {
     const std::string id = "n-" + std::to_string(i);
     const std::string last = "n-" + std::to_string(i - 1);
-    rig.discovery.tell(rig.news(8 + i, false, {rig.entry(id, rig.node1.server.address, 1),
-                                               rig.entry(last, rig.node1.server.address, 1, "Gone")}));
+    rig.discovery.tell(rig.news(
+        8 + i, false,
+        {rig.entry(id, rig.node1.server.address, 1), rig.entry(last, rig.node1.server.address, 1, "Gone")}));
     rig.run(0.03);
   }
   CHECK(rig.scheduler->nodes() < 400);  // those of the last ten seconds
--- a/tests/store/faulty.h
+++ b/tests/store/faulty.h
@@ -1,5 +1,5 @@
-// A file system in memory that behaves as badly as one may: what was not synced is lost, torn or kept out of order at
-// a crash; it fills up; any call fails or is the last before a crash.
+// A file system in memory that behaves as badly as one may: what was not synced is lost, torn or kept out of
+// order at a crash; it fills up; any call fails or is the last before a crash.
 #pragma once
 
 #include <algorithm>
@@ -25,7 +25,8 @@
     std::vector<std::pair<std::size_t, std::size_t>> lost;
     void sync() {
       durable = now;
-      for (const auto& [from, to] : lost) std::fill(durable.begin() + static_cast<long>(from), durable.begin() + static_cast<long>(to), '\0');
+      for (const auto& [from, to] : lost)
+        std::fill(durable.begin() + static_cast<long>(from), durable.begin() + static_cast<long>(to), '\0');
     }
     void truncate(std::size_t size) {
       now.resize(size);
@@ -37,11 +38,11 @@
 
  public:
   // ---- What goes wrong ----
-  long calls = 0;         // that change or sync anything
-  long crash_at = -1;     // the number of the call in which the process dies
+  long calls = 0;            // that change or sync anything
+  long crash_at = -1;        // the number of the call in which the process dies
   bool crash_after = false;  // once its effect has happened, not before
-  long fail_at = -1;      // the number of the call that fails
-  long fail_for = 1;      // and so many after it
+  long fail_at = -1;         // the number of the call that fails
+  long fail_for = 1;         // and so many after it
   int fail_with = EIO;
   std::uint64_t room = UINT64_MAX;  // bytes that files may hold together
   std::string last_call;
@@ -76,7 +77,8 @@
         constexpr std::size_t kSector = 64;
         for (std::size_t at = durable.size(); at < now.size();) {
           const std::size_t end = std::min((at / kSector + 1) * kSector, now.size());
-          if (random() % 2 == 0) std::fill(now.begin() + static_cast<long>(at), now.begin() + static_cast<long>(end), '\0');
+          if (random() % 2 == 0)
+            std::fill(now.begin() + static_cast<long>(at), now.begin() + static_cast<long>(end), '\0');
           at = end;
         }
         if (random() % 2 == 0) now.resize(durable.size() + random() % (now.size() - durable.size() + 1));
@@ -142,7 +144,8 @@
   int make_folder(const std::string&) override { return 0; }
   int sync_folder(const std::string& folder) override {
     return change("sync folder " + folder, [&] {
-      std::erase_if(durable_names_, [&](auto& n) { return n.first.starts_with(folder + "/") && !names_.contains(n.first); });
+      std::erase_if(durable_names_,
+                    [&](auto& n) { return n.first.starts_with(folder + "/") && !names_.contains(n.first); });
       for (const auto& [path, inode] : names_) {
         if (path.starts_with(folder + "/")) durable_names_[path] = inode;
       }
@@ -180,18 +183,26 @@
     int append(store::View bytes) override {
       const std::uint64_t used = files_.used();
       const bool full = used + bytes.size() > files_.room;
-      const std::size_t fits = full ? static_cast<std::size_t>(files_.room > used ? files_.room - used : 0) : bytes.size();
-      const auto put = [&](std::size_t n) { inode_->now.append(reinterpret_cast<const char*>(bytes.data()), n); };
-      const int e = files_.change("append " + path_, [&] { return put(fits), full ? ENOSPC : 0; }, [&] { put(bytes.size() / 2); });
+      const std::size_t fits =
+          full ? static_cast<std::size_t>(files_.room > used ? files_.room - used : 0) : bytes.size();
+      const auto put = [&](std::size_t n) {
+        inode_->now.append(reinterpret_cast<const char*>(bytes.data()), n);
+      };
+      const int e = files_.change(
+          "append " + path_, [&] { return put(fits), full ? ENOSPC : 0; }, [&] { put(bytes.size() / 2); });
       return e;
     }
     int sync() override {
-      return files_.change("sync " + path_, [&] {
-        inode_->sync();
-        return 0;
-      }, [&] {
-        if (inode_->now.size() > inode_->durable.size()) inode_->lost.push_back({inode_->durable.size(), inode_->now.size()});
-      });
+      return files_.change(
+          "sync " + path_,
+          [&] {
+            inode_->sync();
+            return 0;
+          },
+          [&] {
+            if (inode_->now.size() > inode_->durable.size())
+              inode_->lost.push_back({inode_->durable.size(), inode_->now.size()});
+          });
     }
     int truncate(std::uint64_t size) override {
       return files_.change("truncate " + path_, [&] {
--- a/tests/store/log_test.cpp
+++ b/tests/store/log_test.cpp
@@ -1,9 +1,10 @@
 // The log through every crash, every failing call and every flipped bit: enumerated, none sampled.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
+#include "store/log.h"
+
 #include <doctest/doctest.h>
 
 #include "faulty.h"
-#include "store/log.h"
 
 using namespace heronworks;
 using namespace heronworks::store;
@@ -111,7 +112,8 @@
   CHECK(fault.text == "has another owner");
 }
 
-TEST_CASE("a crash before and after every call, with every kind of loss: a prefix that has all that was promised") {
+TEST_CASE(
+    "a crash before and after every call, with every kind of loss: a prefix that has all that was promised") {
   FaultyFiles whole;
   std::uint64_t acknowledged = 0;
   play(whole, acknowledged);
@@ -131,8 +133,8 @@
           } catch (const test::Crash&) {
             ++crashes;
           }
-          INFO("crash " << (after ? "after" : "before") << " call " << at << ", " << files.last_call << ", loss "
-                        << static_cast<int>(loss) << ", seed " << seed);
+          INFO("crash " << (after ? "after" : "before") << " call " << at << ", " << files.last_call
+                        << ", loss " << static_cast<int>(loss) << ", seed " << seed);
           files.power_loss(loss, seed);
           play(files, acknowledged);
           check_whole(files);
@@ -163,7 +165,8 @@
   }
 }
 
-TEST_CASE("every call fails, once and five times in a row, and what was promised outlives the next loss of power") {
+TEST_CASE(
+    "every call fails, once and five times in a row, and what was promised outlives the next loss of power") {
   FaultyFiles whole;
   std::uint64_t acknowledged = 0;
   play(whole, acknowledged);
@@ -235,7 +238,8 @@
         set_aside += state.set_aside.empty() ? 0 : 1;
         cut += state.cut ? 1 : 0;
         // What the snapshot covers is not read for recovery; a reading of all finds it.
-        if (state.set_aside.empty() && !state.cut) CHECK((!read_log(files, kFolder, false, {}, state, fault) || !state.set_aside.empty()));
+        if (state.set_aside.empty() && !state.cut)
+          CHECK((!read_log(files, kFolder, false, {}, state, fault) || !state.set_aside.empty()));
       }
       byte = static_cast<char>(byte ^ 1 << at % 8);
     }
--- a/tests/store/writer_test.cpp
+++ b/tests/store/writer_test.cpp
@@ -1,8 +1,9 @@
 // The log's thread beside a loop.
+#include "store/writer.h"
+
 #include <doctest/doctest.h>
 
 #include "faulty.h"
-#include "store/writer.h"
 
 using namespace heronworks;
 using namespace heronworks::store;
