--- a/bench/ledger.cpp
+++ b/bench/ledger.cpp
@@ -20,12 +20,12 @@
 }
 
 // Entries from `from` on, in groups as a busy scheduler's.
-double fill(store::Files& files, const std::string& folder, std::uint64_t entries, std::uint64_t from,
+double fill(store::FileSystem& files, const std::string& folder, std::uint64_t entries, std::uint64_t from,
             bool snapshot) {
-  store::LogState state;
-  store::Fault fault;
+  store::ReplayResult state;
+  store::FileError fault;
   store::LogOptions options;
-  options.keep_all = true;
+  options.keep_all_segments = true;
   const auto log = store::Log::open(files, folder + "/entries", options, {}, state, fault);
   if (!log) std::exit(1);
   Book book({3600, 60, 200000});
@@ -43,27 +43,28 @@
     u.bytes = 4096 * u.units;
     u.client = "nqn.2026-11.org.heronworks:client.7";
     book.honoured(1e9 + 0.0001 * static_cast<double>(i), u, records);
-    for (const std::string& r : records) log->append(store::view(r));
+    for (const std::string& r : records) log->append(store::byte_view(r));
     records.clear();
-    if (log->pending() >= 1000 && log->commit() != 0) std::exit(1);
+    if (log->pending_count() >= 1000 && log->commit() != 0) std::exit(1);
   }
   book.tick(1e9 + 0.0001 * static_cast<double>(entries) + 7200, records);
-  for (const std::string& r : records) log->append(store::view(r));
+  for (const std::string& r : records) log->append(store::byte_view(r));
   if (log->commit() != 0) std::exit(1);
-  log->mark();
+  log->write_durability_marker();
   const double took = now() - start;
-  if (snapshot && log->snapshot(log->last(), store::view(book.snapshot())) != 0) std::exit(1);
+  if (snapshot && log->write_snapshot(log->last_sequence(), store::byte_view(book.snapshot())) != 0)
+    std::exit(1);
   return took;
 }
 
-double recover(store::Files& files, const std::string& folder) {
+double recover(store::FileSystem& files, const std::string& folder) {
   const double start = now();
-  store::LogState state;
-  store::Fault fault;
+  store::ReplayResult state;
+  store::FileError fault;
   Book book({3600, 60, 200000});
   std::string wrong;
   store::LogOptions options;
-  options.keep_all = true;
+  options.keep_all_segments = true;
   if (!store::Log::open(files, folder + "/entries", options, into(book, wrong), state, fault) ||
       !wrong.empty())
     std::exit(1);
@@ -81,7 +82,7 @@
 int main(int argc, char** argv) {
   const std::uint64_t most = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1000000;
   const std::string root = "/var/tmp/heronworks-ledger-bench-" + std::to_string(::getpid());
-  store::DiskFiles files;
+  store::PosixFileSystem files;
   std::printf("%12s %14s %12s %14s %14s\n", "entries", "entries/s", "bytes each", "recovery s",
               "with snapshot");
   for (std::uint64_t n = most / 10; n <= most; n *= 10) {
@@ -110,7 +111,7 @@
     ReconcileOptions o;
     o.scratch = root + "/runs";
     Reconciled r;
-    store::Fault fault;
+    store::FileError fault;
     const double start = now();
     if (!reconcile(
             files, folders, o, [](const Found&) {}, r, fault))
--- a/src/cli/ledger.cpp
+++ b/src/cli/ledger.cpp
@@ -39,8 +39,8 @@
   bool open_too = false;
 };
 
-int refuse(const store::Fault& f) {
-  std::fprintf(stderr, "heronworks: %s\n", f.shown().c_str());
+int refuse(const store::FileError& f) {
+  std::fprintf(stderr, "heronworks: %s\n", f.to_string().c_str());
   return 2;
 }
 
@@ -51,17 +51,17 @@
 }
 
 int status(const Words& w) {
-  store::DiskFiles files;
+  store::PosixFileSystem files;
   LedgerFacts facts;
   Desk desk;
-  store::Fault fault;
+  store::FileError fault;
   if (!read_ledger(files, w.folder, {}, facts, fault) || !read_desk(files, w.folder, desk, fault))
     return refuse(fault);
   std::printf("ledger %s of scheduler %u: %llu entries in %zu segments of %.1f MiB, %zu corrections\n",
               ledger_name(facts.ledger).c_str(), facts.scheduler,
-              static_cast<unsigned long long>(facts.entries), facts.log.segments,
-              static_cast<double>(facts.log.bytes) / 1048576, desk.corrections.size());
-  if (facts.log.cut) std::printf("%s\n", facts.log.cut->shown().c_str());
+              static_cast<unsigned long long>(facts.entries), facts.log.segment_count,
+              static_cast<double>(facts.log.bytes_read) / 1048576, desk.corrections.size());
+  if (facts.log.torn_write) std::printf("%s\n", facts.log.torn_write->to_string().c_str());
   for (const wire::Note& n : facts.notes) std::printf("note: %s\n", n.text().c_str());
   std::printf("%10s %12s %12s %12s %8s  %s\n", "period", "first", "last", "units", "repeats", "exported");
   for (const wire::Closed& c : facts.closed) {
@@ -82,8 +82,8 @@
 }
 
 int show(const Words& w) {
-  store::DiskFiles files;
-  store::Fault fault;
+  store::PosixFileSystem files;
+  store::FileError fault;
   LedgerFacts facts;
   std::uint64_t shown = 0;
   Visitor visitor;
@@ -105,28 +105,29 @@
 }
 
 int verify(const Words& w) {
-  store::DiskFiles files;
-  store::Fault fault;
+  store::PosixFileSystem files;
+  store::FileError fault;
   LedgerFacts facts;
   Desk desk;
   if (!read_ledger(files, w.folder, {}, facts, fault) || !read_desk(files, w.folder, desk, fault))
     return refuse(fault);
   std::printf("%llu entries, %zu seals: all hold\n", static_cast<unsigned long long>(facts.entries),
               facts.closed.size());
-  if (facts.log.cut)
-    std::printf("%s (a crash leaves one; the next start cuts it)\n", facts.log.cut->shown().c_str());
+  if (facts.log.torn_write)
+    std::printf("%s (a crash leaves one; the next start cuts it)\n",
+                facts.log.torn_write->to_string().c_str());
   return 0;
 }
 
 // Seals what is over, for a scheduler that no longer runs.
 int close_period(const Words& w) {
-  store::DiskFiles files;
-  store::Fault fault;
-  store::LogState state;
+  store::PosixFileSystem files;
+  store::FileError fault;
+  store::ReplayResult state;
   Book book{BookOptions{}};
   std::string wrong;
   store::LogOptions options;
-  options.keep_all = true;
+  options.keep_all_segments = true;
   const auto log = store::Log::open(files, w.folder + "/entries", options, into(book, wrong), state, fault);
   if (!log) return refuse(fault);
   if (!wrong.empty()) return refuse({w.folder, 0, wrong, 0});
@@ -134,15 +135,15 @@
   const double now =
       std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
   book.tick(std::max(now, book.time()), records);
-  for (const std::string& r : records) log->append(store::view(r));
+  for (const std::string& r : records) log->append(store::byte_view(r));
   if (const int e = log->commit(); e != 0) return refuse({w.folder, 0, "cannot be written", e});
   std::printf(records.empty() ? "nothing to close\n" : "closed\n");
   return 0;
 }
 
 int correct(const Words& w) {
-  store::DiskFiles files;
-  store::Fault fault;
+  store::PosixFileSystem files;
+  store::FileError fault;
   LedgerFacts facts;
   // What is to be corrected: one entry from the command line, or the lines of a file that name this ledger.
   struct Wanted {
@@ -225,8 +226,8 @@
 }
 
 int export_period(const Words& w) {
-  store::DiskFiles files;
-  store::Fault fault;
+  store::PosixFileSystem files;
+  store::FileError fault;
   const auto to = Address::parse(w.to);
   if (!to) return refuse({w.to, 0, "is no numeric address and port", 0});
   const Form form = w.form == "csv" ? Form::kCsv : Form::kRecords;
@@ -249,8 +250,8 @@
 }
 
 int reconcile_all(const Words& w) {
-  store::DiskFiles files;
-  store::Fault fault;
+  store::PosixFileSystem files;
+  store::FileError fault;
   ReconcileOptions o;
   o.scratch =
       w.scratch.empty()
@@ -298,8 +299,8 @@
 }
 
 int statement(const Words& w) {
-  store::DiskFiles files;
-  store::Fault fault;
+  store::PosixFileSystem files;
+  store::FileError fault;
   Statement s;
   if (!make_statement(files, w.folders, w.tenant, w.period, s, fault)) return refuse(fault);
   const std::string text = w.html ? as_html(s) : as_text(s);
--- a/src/gateway/scheduler.cpp
+++ b/src/gateway/scheduler.cpp
@@ -67,9 +67,10 @@
     o.folder = config.ledger.folder;
     o.book = {config.ledger.period, config.ledger.remembers, config.ledger.identities};
     // Room for the entries of all that may be open, twice, as the door closes at half.
-    o.writer.most_records = std::max<std::size_t>(65536, 4 * static_cast<std::size_t>(config.most_open));
-    o.writer.most_bytes = o.writer.most_records * 1024;
-    o.writer.group = config.ledger.group;
+    o.writer.max_pending_records =
+        std::max<std::size_t>(65536, 4 * static_cast<std::size_t>(config.most_open));
+    o.writer.max_pending_bytes = o.writer.max_pending_records * 1024;
+    o.writer.max_group_records = config.ledger.group;
     o.scheduler = static_cast<std::uint32_t>(config.settings.index);
     o.new_ledger = own_label_ ^ static_cast<std::uint64_t>(::getpid()) << 32;
     keeper_ = std::make_unique<ledger::Keeper>(loop, files_, o, *this);
--- a/src/gateway/scheduler.h
+++ b/src/gateway/scheduler.h
@@ -145,7 +145,7 @@
   Slots<Slot> slots_;                                                // by transaction
   std::unordered_map<nvme::ConnectionId, std::set<int>> by_client_;  // open ones; emptied with them
   std::unordered_map<nvme::ConnectionId, ClientFacts> facts_;  // of I/O connections; emptied as they close
-  store::DiskFiles files_;
+  store::PosixFileSystem files_;
   std::unique_ptr<ledger::Keeper> keeper_;  // none: no ledger
   ledger::Standings standings_;
   std::deque<Waiting> waiting_;  // by ticket; bounded by what may be open, emptied as entries are durable
--- a/src/lab/bills.cpp
+++ b/src/lab/bills.cpp
@@ -58,8 +58,8 @@
       if (j.is_object() && j.contains("ahead")) b.ahead += j["ahead"].get<std::uint64_t>();
     }
   }
-  store::DiskFiles files;
-  store::Fault fault;
+  store::PosixFileSystem files;
+  store::FileError fault;
   std::vector<std::string> folders;
   for (int s = 0; s < day.schedulers; ++s) folders.push_back(ledger_folder(folder, s));
   ledger::ReconcileOptions options;
@@ -71,7 +71,7 @@
   ledger::Reconciled r;
   if (!ledger::reconcile(
           files, folders, options, [&](const ledger::Found& f) { found.push_back(f); }, r, fault)) {
-    wrong(fault.shown());
+    wrong(fault.to_string());
     return b;
   }
   b.entries = r.entries;
@@ -94,9 +94,9 @@
   for (std::size_t l = 0; l < folders.size(); ++l) {
     ledger::LedgerFacts facts;
     ledger::Desk desk;
-    if (!ledger::read_ledger(files, folders[l], {}, facts, fault)) return wrong(fault.shown()), b;
+    if (!ledger::read_ledger(files, folders[l], {}, facts, fault)) return wrong(fault.to_string()), b;
     const auto log = ledger::open_desk(files, folders[l], desk, fault);
-    if (!log) return wrong(fault.shown()), b;
+    if (!log) return wrong(fault.to_string()), b;
     for (const auto& f : found) {
       if (f.units == 0 || f.ledger != facts.ledger) continue;
       ledger::wire::DeskRecord record;
@@ -117,7 +117,7 @@
   found.clear();
   if (!ledger::reconcile(
           files, folders, options, [&](const ledger::Found& f) { found.push_back(f); }, r, fault))
-    wrong(fault.shown());
+    wrong(fault.to_string());
   if (found.size() != not_entered)
     wrong("a second reconciliation finds " + std::to_string(found.size()) + " more");
 
@@ -131,13 +131,13 @@
     ledger::LedgerFacts facts;
     ledger::Visitor visitor;
     visitor.entry = [&](const ledger::wire::Entry& e, std::string_view) { periods.insert(e.period()); };
-    if (!ledger::read_ledger(files, f, visitor, facts, fault)) wrong(fault.shown());
+    if (!ledger::read_ledger(files, f, visitor, facts, fault)) wrong(fault.to_string());
   }
   for (int tenant = 0; tenant < 7; ++tenant) {
     for (const std::int64_t p : periods) {
       ledger::Statement s;
       if (!ledger::make_statement(files, folders, tenant_of(tenant), p, s, fault))
-        return wrong(fault.shown()), b;
+        return wrong(fault.to_string()), b;
       if (s.sealed && !s.lines.empty() && b.statement.empty()) b.statement = ledger::as_text(s);
       std::int64_t lines = 0;
       for (const auto& [key, l] : s.lines) {
--- a/src/lab/receiver.cpp
+++ b/src/lab/receiver.cpp
@@ -29,7 +29,7 @@
   void drop() override { now_->bytes.clear(); }
   void store() override {
     // The name is the identity: a second file of one cannot be.
-    if (store::replace(r_.files_, r_.options_.folder, id_, store::view(now_->bytes)) != 0)
+    if (store::write_file_atomically(r_.files_, r_.options_.folder, id_, store::byte_view(now_->bytes)) != 0)
       return say_refused("cannot be stored");
     r_.maybe_crash();
     now_->receipt->stored(*this);
@@ -42,7 +42,7 @@
   }
   void say_stored() override {
     std::string content;
-    if (store::read_all(r_.files_, r_.options_.folder + "/" + id_, content) != 0)
+    if (store::read_file(r_.files_, r_.options_.folder + "/" + id_, content) != 0)
       return say_refused("cannot be read");
     ledger::wire::Frame f;
     f.mutable_stored()->set_id(id_);
@@ -67,7 +67,7 @@
     if (fresh) {
       std::string content;
       now_->receipt = std::make_unique<ledger::Receipt>(
-          store::read_all(r_.files_, r_.options_.folder + "/" + id_, content) == 0);
+          store::read_file(r_.files_, r_.options_.folder + "/" + id_, content) == 0);
     }
     if (f.has_offer()) {
       now_->digest = f.offer().digest();
@@ -104,7 +104,8 @@
 Receiver::Receiver(Loop& loop, const ReceiverOptions& options)
     : loop_(loop), options_(options), random_(options.seed + 1) {
   random_.discard(16);  // the first of small seeds are small
-  if (files_.make_folder(options.folder) != 0) throw std::runtime_error("cannot make " + options.folder);
+  if (files_.create_directories(options.folder) != 0)
+    throw std::runtime_error("cannot make " + options.folder);
   Fd fd = listen_on(options.listen);
   if (!fd) throw std::runtime_error("cannot listen on " + options.listen.text());
   listener_ = std::make_unique<Listener>(loop, std::move(fd), [this](Fd accepted) {
--- a/src/lab/receiver.h
+++ b/src/lab/receiver.h
@@ -8,7 +8,7 @@
 
 #include "ledger/export.h"
 #include "loop/stream.h"
-#include "store/files.h"
+#include "store/file_system.h"
 
 namespace heronworks::lab {
 
@@ -41,7 +41,7 @@
   static constexpr double kLate = 0.3;  // s
   Loop& loop_;
   const ReceiverOptions options_;
-  store::DiskFiles files_;
+  store::PosixFileSystem files_;
   std::minstd_rand random_;
   std::map<std::string, Incoming> incoming_;  // by identity; as many as were offered since the start
   std::vector<std::unique_ptr<Connection>> connections_;
--- a/src/ledger/export_run.cpp
+++ b/src/ledger/export_run.cpp
@@ -130,8 +130,8 @@
 
 }  // namespace
 
-bool export_bytes(store::Files& files, const std::string& folder, std::int64_t period, Form form,
-                  std::string& bytes, LedgerFacts& facts, store::Fault& fault) {
+bool export_bytes(store::FileSystem& files, const std::string& folder, std::int64_t period, Form form,
+                  std::string& bytes, LedgerFacts& facts, store::FileError& fault) {
   static constexpr const char* kStandings[] = {"reservation", "share", "spare"};
   bytes = form == Form::kCsv ? "number,identity,tenant,volume,plan,profile,units,bytes,standing,at,repeat_of,"
                                "client,attempt,labels\r\n"
--- a/src/ledger/export_run.h
+++ b/src/ledger/export_run.h
@@ -12,8 +12,8 @@
 
 // What is sent of one closed period: its records as written, each after its length (u32, little endian); or a
 // line of CSV for each entry, after one of names.
-bool export_bytes(store::Files& files, const std::string& folder, std::int64_t period, Form form,
-                  std::string& bytes, LedgerFacts& facts, store::Fault& fault);
+bool export_bytes(store::FileSystem& files, const std::string& folder, std::int64_t period, Form form,
+                  std::string& bytes, LedgerFacts& facts, store::FileError& fault);
 // Stable over crashes: of ledger, period, form and content.
 std::string export_id(std::uint64_t ledger, std::int64_t period, Form form, std::string_view bytes);
 
--- a/src/ledger/keeper.cpp
+++ b/src/ledger/keeper.cpp
@@ -12,22 +12,23 @@
 
 }  // namespace
 
-Keeper::Keeper(Loop& loop, store::Files& files, const KeeperOptions& options, KeeperOwner& owner)
+Keeper::Keeper(Loop& loop, store::FileSystem& files, const KeeperOptions& options, KeeperOwner& owner)
     : loop_(loop), owner_(owner), book_(options.book) {
-  store::LogState state;
-  store::Fault fault;
+  store::ReplayResult state;
+  store::FileError fault;
   std::string wrong;
   store::LogOptions log_options;
   log_options.segment_bytes = options.segment_bytes;
-  log_options.keep_all = true;  // the log is the ledger
+  log_options.keep_all_segments = true;  // the log is the ledger
   auto log =
       store::Log::open(files, options.folder + "/entries", log_options, into(book_, wrong), state, fault);
-  if (!log) throw std::runtime_error("the ledger is refused: " + fault.shown());
+  if (!log) throw std::runtime_error("the ledger is refused: " + fault.to_string());
   if (!wrong.empty()) throw std::runtime_error("the ledger is refused: " + options.folder + ": " + wrong);
-  if (state.cut) owner_.ledger_note("ledger.cut", state.cut->shown());
-  for (const store::Fault& f : state.set_aside) owner_.ledger_note("ledger.snapshot_set_aside", f.shown());
-  durable_ = log->last();
-  writer_ = std::make_unique<store::Writer>(loop, std::move(log), options.writer, *this);
+  if (state.torn_write) owner_.ledger_note("ledger.cut", state.torn_write->to_string());
+  for (const store::FileError& f : state.unusable_snapshots)
+    owner_.ledger_note("ledger.snapshot_set_aside", f.to_string());
+  durable_ = log->last_sequence();
+  writer_ = std::make_unique<store::LogWriter>(loop, std::move(log), options.writer, *this);
   clock_.emplace(book_.time(), loop.now(), loop.now() + wall_offset(), options.book.period);
   book_.open(time(), options.new_ledger, options.scheduler, records_);
   snapshot_period_ = book_.period();
@@ -44,13 +45,13 @@
 
 bool Keeper::takes() const {
   const double oldest = groups_.empty() ? 0 : loop_.now() - groups_.front().second;
-  return pressure_.takes(writer_->read_only(), writer_->fill(), oldest);
+  return pressure_.takes(writer_->read_only(), writer_->queue_fill(), oldest);
 }
 
 std::uint64_t Keeper::honoured(const Use& use) {
   book_.honoured(time(), use, records_);
   write(records_);
-  return writer_->last();
+  return writer_->last_sequence();
 }
 
 void Keeper::write(std::vector<std::string>& records) {
@@ -59,7 +60,7 @@
     if (writer_->append(std::move(r)) == 0) throw std::runtime_error("the ledger's queue is full");
   }
   records.clear();
-  const std::uint64_t last = writer_->last();
+  const std::uint64_t last = writer_->last_sequence();
   if (last <= durable_) return;
   const double at = loop_.turn_time();
   if (!groups_.empty() && groups_.back().second == at) groups_.back().first = last;
@@ -77,22 +78,22 @@
     }
   }
   // With the queue this full, seals wait: they are for later entries as well.
-  if (writer_->fill() < 0.9) {
+  if (writer_->queue_fill() < 0.9) {
     book_.tick(now, records_);
     write(records_);
   }
-  if (book_.period() != snapshot_period_ && writer_->snapshot(book_.snapshot()))
+  if (book_.period() != snapshot_period_ && writer_->request_snapshot(book_.snapshot()))
     snapshot_period_ = book_.period();
   tick_ = loop_.at(loop_.now() + kTick, [this] { tick(); });
 }
 
-void Keeper::durable(std::uint64_t sequence) {
+void Keeper::on_durable(std::uint64_t sequence) {
   durable_ = sequence;
   while (!groups_.empty() && groups_.front().first <= sequence) groups_.pop_front();
   owner_.entered(sequence);
 }
 
-void Keeper::writer_state(bool read_only, const std::string& reason) {
+void Keeper::on_read_only_changed(bool read_only, const std::string& reason) {
   owner_.ledger_state(read_only, reason);
 }
 
--- a/src/ledger/keeper.h
+++ b/src/ledger/keeper.h
@@ -10,14 +10,14 @@
 #include "ledger/book.h"
 #include "ledger/clock_rule.h"
 #include "ledger/pressure.h"
-#include "store/writer.h"
+#include "store/log_writer.h"
 
 namespace heronworks::ledger {
 
 struct KeeperOptions {
   std::string folder;  // of the ledger; its entries stand in "entries" below it
   BookOptions book;
-  store::WriterOptions writer;
+  store::LogWriterOptions writer;
   std::uint64_t segment_bytes = std::uint64_t{64} << 20;
   std::uint32_t scheduler = 0;
   std::uint64_t new_ledger = 0;  // name of a ledger that begins
@@ -31,10 +31,10 @@
   virtual void ledger_note(const char* event, const std::string& text) = 0;
 };
 
-class Keeper final : public store::WriterOwner {
+class Keeper final : public store::LogWriterObserver {
  public:
   // Throws std::runtime_error where the ledger is refused.
-  Keeper(Loop& loop, store::Files& files, const KeeperOptions& options, KeeperOwner& owner);
+  Keeper(Loop& loop, store::FileSystem& files, const KeeperOptions& options, KeeperOwner& owner);
   ~Keeper() override;
 
   bool takes() const;
@@ -44,8 +44,8 @@
   const Book& book() const { return book_; }
 
  private:
-  void durable(std::uint64_t sequence) override;
-  void writer_state(bool read_only, const std::string& reason) override;
+  void on_durable(std::uint64_t sequence) override;
+  void on_read_only_changed(bool read_only, const std::string& reason) override;
   double time();
   void tick();
   void write(std::vector<std::string>& records);
@@ -55,7 +55,7 @@
   Pressure pressure_;
   Book book_;
   std::optional<ClockRule> clock_;
-  std::unique_ptr<store::Writer> writer_;
+  std::unique_ptr<store::LogWriter> writer_;
   std::vector<std::string> records_;  // scratch
   std::deque<std::pair<std::uint64_t, double>>
       groups_;  // a mark a turn: ticket and when; emptied as they are durable
--- a/src/ledger/reading.h
+++ b/src/ledger/reading.h
@@ -19,11 +19,11 @@
   std::int64_t open_period = -1;
   std::vector<wire::Closed> closed;  // as many as there were periods
   std::vector<wire::Note> notes;
-  store::LogState log;
+  store::ReplayResult log;
 };
 
 // Hands a log's snapshot and records to a book; the first that does not fit is told in `wrong`.
-store::Reader into(Book& book, std::string& wrong);
+store::ReplayHandler into(Book& book, std::string& wrong);
 
 // Told in order; `bytes` are the record as written. Any may be empty.
 struct Visitor {
@@ -32,8 +32,8 @@
 };
 
 // False with a fault that names file and offset, or the record.
-bool read_ledger(store::Files& files, const std::string& folder, const Visitor& visitor, LedgerFacts& facts,
-                 store::Fault& fault);
+bool read_ledger(store::FileSystem& files, const std::string& folder, const Visitor& visitor,
+                 LedgerFacts& facts, store::FileError& fault);
 
 // ---- What operators added: corrections and exports, in a log of their own, so that a scheduler may run
 // meanwhile ----
@@ -45,10 +45,10 @@
   void take(std::string_view record);
 };
 
-bool read_desk(store::Files& files, const std::string& folder, Desk& desk, store::Fault& fault);
+bool read_desk(store::FileSystem& files, const std::string& folder, Desk& desk, store::FileError& fault);
 // With the right to add; one at a time.
-std::unique_ptr<store::Log> open_desk(store::Files& files, const std::string& folder, Desk& desk,
-                                      store::Fault& fault);
+std::unique_ptr<store::Log> open_desk(store::FileSystem& files, const std::string& folder, Desk& desk,
+                                      store::FileError& fault);
 // Durable before it returns 0; else an errno, and nothing was added.
 int add_to_desk(store::Log& log, Desk& desk, const wire::DeskRecord& record);
 
--- a/src/ledger/reconcile.cpp
+++ b/src/ledger/reconcile.cpp
@@ -109,8 +109,9 @@
   return kNames[static_cast<std::size_t>(f)];
 }
 
-bool reconcile(store::Files& files, const std::vector<std::string>& folders, const ReconcileOptions& options,
-               const std::function<void(const Found&)>& found, Reconciled& result, store::Fault& fault) {
+bool reconcile(store::FileSystem& files, const std::vector<std::string>& folders,
+               const ReconcileOptions& options, const std::function<void(const Found&)>& found,
+               Reconciled& result, store::FileError& fault) {
   result = {};
   Runs runs(options.scratch, options.most_in_memory);
   std::vector<std::uint64_t> names;
--- a/src/ledger/reconcile.h
+++ b/src/ledger/reconcile.h
@@ -50,7 +50,8 @@
 };
 
 // False with a fault where a ledger is refused. `found` is told in order of identity.
-bool reconcile(store::Files& files, const std::vector<std::string>& folders, const ReconcileOptions& options,
-               const std::function<void(const Found&)>& found, Reconciled& result, store::Fault& fault);
+bool reconcile(store::FileSystem& files, const std::vector<std::string>& folders,
+               const ReconcileOptions& options, const std::function<void(const Found&)>& found,
+               Reconciled& result, store::FileError& fault);
 
 }  // namespace heronworks::ledger
--- a/src/ledger/statement.cpp
+++ b/src/ledger/statement.cpp
@@ -115,8 +115,8 @@
   return sum;
 }
 
-bool make_statement(store::Files& files, const std::vector<std::string>& folders, const std::string& tenant,
-                    std::int64_t period, Statement& s, store::Fault& fault) {
+bool make_statement(store::FileSystem& files, const std::vector<std::string>& folders,
+                    const std::string& tenant, std::int64_t period, Statement& s, store::FileError& fault) {
   s = {};
   s.tenant = tenant;
   s.period = period;
--- a/src/ledger/statement.h
+++ b/src/ledger/statement.h
@@ -27,8 +27,9 @@
   std::int64_t total() const;
 };
 
-bool make_statement(store::Files& files, const std::vector<std::string>& folders, const std::string& tenant,
-                    std::int64_t period, Statement& statement, store::Fault& fault);
+bool make_statement(store::FileSystem& files, const std::vector<std::string>& folders,
+                    const std::string& tenant, std::int64_t period, Statement& statement,
+                    store::FileError& fault);
 
 // Through the templates of the program, or those of a file.
 std::string as_text(const Statement& s);
--- a/tests/gateway/ledger_test.cpp
+++ b/tests/gateway/ledger_test.cpp
@@ -17,12 +17,12 @@
 
 struct Entries {
   explicit Entries(const std::string& folder) {
-    store::DiskFiles files;
+    store::PosixFileSystem files;
     ledger::Visitor visitor;
     visitor.entry = [&](const ledger::wire::Entry& e, std::string_view) { all.push_back(e); };
-    store::Fault fault;
+    store::FileError fault;
     good = ledger::read_ledger(files, folder, visitor, facts, fault);
-    INFO(fault.shown());
+    INFO(fault.to_string());
     CHECK(good);
   }
   bool good = false;
--- a/tests/store/log_test.cpp
+++ b/tests/store/log_test.cpp
@@ -1,143 +1,148 @@
-// The log through every crash, every failing call and every flipped bit: enumerated, none sampled.
+// Recovery of the log after a crash at any call, a failure of any call and the corruption of any byte. All
+// cases are enumerated.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "store/log.h"
 
 #include <doctest/doctest.h>
 
-#include "faulty.h"
+#include "faulty_file_system.h"
 
 using namespace heronworks;
 using namespace heronworks::store;
-using test::FaultyFiles;
-using test::Loss;
+using test::FaultyFileSystem;
+using test::UnsyncedData;
 
 namespace {
 
-constexpr int kRecords = 45;
-const std::string kFolder = "/ledger";
+constexpr int kRecordCount = 45;
+const std::string kDirectory = "/ledger";
 
 std::string record(std::uint64_t n) { return "record " + std::to_string(n) + std::string(n % 23, '.'); }
 
-// What an owner keeps: all records so far, one a line.
-struct Book {
+// State rebuilt by a replay: all records so far, one per line.
+struct ReplayedState {
   std::string text;
-  std::uint64_t last = 0;
-  Reader reader() {
-    return {[this](std::uint64_t upto, View content) {
+  std::uint64_t last_sequence = 0;
+  ReplayHandler handler() {
+    return {[this](std::uint64_t sequence, ByteView content) {
               text.assign(content.begin(), content.end());
-              last = upto;
+              last_sequence = sequence;
               return true;
             },
-            [this](std::uint64_t sequence, View r) {
-              CHECK(sequence == last + 1);
-              last = sequence;
-              text += std::string(r.begin(), r.end()) + "\n";
+            [this](std::uint64_t sequence, ByteView payload) {
+              CHECK(sequence == last_sequence + 1);
+              last_sequence = sequence;
+              text += std::string(payload.begin(), payload.end()) + "\n";
             }};
   }
 };
 
-std::string expected(std::uint64_t last) {
+std::string expected_text(std::uint64_t last_sequence) {
   std::string text;
-  for (std::uint64_t n = 1; n <= last; ++n) text += record(n) + "\n";
+  for (std::uint64_t n = 1; n <= last_sequence; ++n) text += record(n) + "\n";
   return text;
 }
 
-const LogOptions kSmall{300, 2};
+const LogOptions kSmallSegments{300, 2};
 
-// Goes on from where the log stands to kRecords: groups of three, a snapshot after each tenth. `acknowledged`
-// is raised by what was said to be durable. Mends after failures, at most so often.
-void play(FaultyFiles& files, std::uint64_t& acknowledged, int mends = 0) {
-  Book book;
-  LogState state;
-  Fault fault;
-  const auto log = Log::open(files, kFolder, kSmall, book.reader(), state, fault);
-  INFO(fault.shown());
-  if (!log && mends > 0) return play(files, acknowledged, mends - 1);  // a failing call may refuse the start
+// Opens the log and appends the missing records up to kRecordCount, in groups of three with a snapshot after
+// every ten. Raises `acknowledged` to the last sequence number reported as durable. Resumes after write
+// errors; `resumes_left` limits the attempts.
+void run_workload(FaultyFileSystem& file_system, std::uint64_t& acknowledged, int resumes_left = 0) {
+  ReplayedState state;
+  ReplayResult result;
+  FileError error;
+  const auto log = Log::open(file_system, kDirectory, kSmallSegments, state.handler(), result, error);
+  INFO(error.to_string());
+  // An injected failure may make the open fail.
+  if (!log && resumes_left > 0) return run_workload(file_system, acknowledged, resumes_left - 1);
   REQUIRE(log);
-  CHECK(book.text == expected(book.last));
-  CHECK(book.last >= acknowledged);
-  std::uint64_t next = book.last + 1;
-  std::uint64_t snapshot_at = state.snapshot;
+  CHECK(state.text == expected_text(state.last_sequence));
+  CHECK(state.last_sequence >= acknowledged);
+  std::uint64_t next = state.last_sequence + 1;
+  std::uint64_t snapshot_sequence = result.snapshot_sequence;
   const auto commit = [&] {
     while (log->commit() != 0) {
-      REQUIRE(mends-- > 0);
+      REQUIRE(resumes_left-- > 0);
       CHECK(log->read_only());
-      CHECK(log->durable() >= acknowledged);
-      while (log->mend() != 0) REQUIRE(mends-- > 0);
+      CHECK(log->durable_sequence() >= acknowledged);
+      while (log->resume() != 0) REQUIRE(resumes_left-- > 0);
     }
-    acknowledged = std::max(acknowledged, log->durable());
+    acknowledged = std::max(acknowledged, log->durable_sequence());
   };
-  while (next <= kRecords) {
-    for (int i = 0; i < 3 && next <= kRecords; ++i, ++next) {
-      CHECK(log->append(view(record(next))) == next);
-      book.text += record(next) + "\n";
+  while (next <= kRecordCount) {
+    for (int i = 0; i < 3 && next <= kRecordCount; ++i, ++next) {
+      CHECK(log->append(byte_view(record(next))) == next);
+      state.text += record(next) + "\n";
     }
     commit();
-    if (next - 1 >= snapshot_at + 10) {
-      snapshot_at = next - 1;
-      static_cast<void>(log->snapshot(next - 1, view(book.text)));  // one that fails is only not there
+    if (next - 1 >= snapshot_sequence + 10) {
+      snapshot_sequence = next - 1;
+      // A failed snapshot leaves the log as it was.
+      static_cast<void>(log->write_snapshot(next - 1, byte_view(state.text)));
     }
-    if (next % 2 == 0) log->mark();
+    if (next % 2 == 0) log->write_durability_marker();
     if (log->read_only()) {
-      while (log->mend() != 0) REQUIRE(mends-- > 0);
+      while (log->resume() != 0) REQUIRE(resumes_left-- > 0);
     }
   }
-  log->mark();
+  log->write_durability_marker();
 }
 
-void check_whole(FaultyFiles& files) {
-  Book book;
-  LogState state;
-  Fault fault;
-  REQUIRE_MESSAGE(read_log(files, kFolder, true, book.reader(), state, fault), fault.shown());
-  CHECK(book.last == kRecords);
-  CHECK(book.text == expected(kRecords));
+void check_all_records_present(FaultyFileSystem& file_system) {
+  ReplayedState state;
+  ReplayResult result;
+  FileError error;
+  REQUIRE_MESSAGE(read_log(file_system, kDirectory, true, state.handler(), result, error), error.to_string());
+  CHECK(state.last_sequence == kRecordCount);
+  CHECK(state.text == expected_text(kRecordCount));
 }
 
 }  // namespace
 
-TEST_CASE("a log without trouble: recovered whole, compacted, one owner") {
-  FaultyFiles files;
+TEST_CASE("without faults the log replays every record, is compacted and has one writer") {
+  FaultyFileSystem file_system;
   std::uint64_t acknowledged = 0;
-  play(files, acknowledged);
-  CHECK(acknowledged == kRecords);
-  check_whole(files);
-  LogState state;
-  Fault fault;
-  REQUIRE(read_log(files, kFolder, false, {}, state, fault));
-  CHECK(state.first > 1);  // what no snapshot needs is gone
-  const auto owner = Log::open(files, kFolder, kSmall, {}, state, fault);
-  REQUIRE(owner);
-  CHECK_FALSE(Log::open(files, kFolder, kSmall, {}, state, fault));
-  CHECK(fault.text == "has another owner");
+  run_workload(file_system, acknowledged);
+  CHECK(acknowledged == kRecordCount);
+  check_all_records_present(file_system);
+  ReplayResult result;
+  FileError error;
+  REQUIRE(read_log(file_system, kDirectory, false, {}, result, error));
+  CHECK(result.first_sequence > 1);  // compaction removed segments
+  const auto log = Log::open(file_system, kDirectory, kSmallSegments, {}, result, error);
+  REQUIRE(log);
+  CHECK_FALSE(Log::open(file_system, kDirectory, kSmallSegments, {}, result, error));
+  CHECK(error.message == "has another owner");
 }
 
-TEST_CASE(
-    "a crash before and after every call, with every kind of loss: a prefix that has all that was promised") {
-  FaultyFiles whole;
+TEST_CASE("after a crash before or after any call, recovery keeps all acknowledged records in order") {
+  FaultyFileSystem without_faults;
   std::uint64_t acknowledged = 0;
-  play(whole, acknowledged);
-  const long calls = whole.calls;
+  run_workload(without_faults, acknowledged);
+  const long calls = without_faults.calls;
   CHECK(calls > 60);
   int crashes = 0;
   for (long at = 0; at < calls; ++at) {
     for (const bool after : {false, true}) {
-      for (const Loss loss : {Loss::kAll, Loss::kNone, Loss::kTorn, Loss::kReordered}) {
-        for (unsigned seed = 0; seed < (loss == Loss::kAll || loss == Loss::kNone ? 1u : 6u); ++seed) {
-          FaultyFiles files;
-          files.crash_at = at;
-          files.crash_after = after;
+      for (const UnsyncedData unsynced :
+           {UnsyncedData::kLost, UnsyncedData::kKept, UnsyncedData::kTorn, UnsyncedData::kReordered}) {
+        const bool deterministic = unsynced == UnsyncedData::kLost || unsynced == UnsyncedData::kKept;
+        for (unsigned seed = 0; seed < (deterministic ? 1u : 6u); ++seed) {
+          FaultyFileSystem file_system;
+          file_system.crash_at = at;
+          file_system.crash_after_effect = after;
           acknowledged = 0;
           try {
-            play(files, acknowledged);
+            run_workload(file_system, acknowledged);
           } catch (const test::Crash&) {
             ++crashes;
           }
-          INFO("crash " << (after ? "after" : "before") << " call " << at << ", " << files.last_call
-                        << ", loss " << static_cast<int>(loss) << ", seed " << seed);
-          files.power_loss(loss, seed);
-          play(files, acknowledged);
-          check_whole(files);
+          INFO("crash " << (after ? "after" : "before") << " call " << at << ", " << file_system.last_call
+                        << ", unsynced data " << static_cast<int>(unsynced) << ", seed " << seed);
+          file_system.lose_power(unsynced, seed);
+          run_workload(file_system, acknowledged);
+          check_all_records_present(file_system);
         }
       }
     }
@@ -145,127 +150,128 @@
   CHECK(crashes == calls * 2 * 14);
 }
 
-TEST_CASE("a second crash while it recovers from the first") {
+TEST_CASE("a second crash during recovery from the first loses no acknowledged record") {
   for (long first = 3; first < 90; first += 4) {
     for (long second = 0; second < 12; ++second) {
-      FaultyFiles files;
+      FaultyFileSystem file_system;
       std::uint64_t acknowledged = 0;
       for (const long at : {first, second}) {
-        files.calls = 0;
-        files.crash_at = at;
+        file_system.calls = 0;
+        file_system.crash_at = at;
         try {
-          play(files, acknowledged);
+          run_workload(file_system, acknowledged);
         } catch (const test::Crash&) {
         }
-        files.power_loss(Loss::kTorn, static_cast<unsigned>(first * 31 + at));
+        file_system.lose_power(UnsyncedData::kTorn, static_cast<unsigned>(first * 31 + at));
       }
-      play(files, acknowledged);
-      check_whole(files);
+      run_workload(file_system, acknowledged);
+      check_all_records_present(file_system);
     }
   }
 }
 
-TEST_CASE(
-    "every call fails, once and five times in a row, and what was promised outlives the next loss of power") {
-  FaultyFiles whole;
+TEST_CASE("after one or five failures from any call on, acknowledged records survive a power loss") {
+  FaultyFileSystem without_faults;
   std::uint64_t acknowledged = 0;
-  play(whole, acknowledged);
-  for (long at = 0; at < whole.calls; ++at) {
+  run_workload(without_faults, acknowledged);
+  for (long at = 0; at < without_faults.calls; ++at) {
     for (const int code : {EIO, ENOSPC}) {
-      for (const long times : {1L, 5L}) {
-        FaultyFiles files;
-        files.fail_at = at;
-        files.fail_for = times;
-        files.fail_with = code;
+      for (const long count : {1L, 5L}) {
+        FaultyFileSystem file_system;
+        file_system.fail_at = at;
+        file_system.fail_count = count;
+        file_system.fail_errno = code;
         acknowledged = 0;
-        INFO("call " << at << " fails " << times << " times, " << files.last_call);
-        play(files, acknowledged, 20);
-        CHECK(acknowledged == kRecords);
-        files.power_loss(Loss::kAll, 1);
-        check_whole(files);
+        INFO("call " << at << " fails " << count << " times, " << file_system.last_call);
+        run_workload(file_system, acknowledged, 20);
+        CHECK(acknowledged == kRecordCount);
+        file_system.lose_power(UnsyncedData::kLost, 1);
+        check_all_records_present(file_system);
       }
     }
   }
 }
 
-TEST_CASE("a full disk: read-only, then on again once there is room") {
-  FaultyFiles files;
-  Book book;
-  LogState state;
-  Fault fault;
-  const auto log = Log::open(files, kFolder, kSmall, book.reader(), state, fault);
+TEST_CASE("a full disk makes the log read-only until there is space") {
+  FaultyFileSystem file_system;
+  ReplayedState state;
+  ReplayResult result;
+  FileError error;
+  const auto log = Log::open(file_system, kDirectory, kSmallSegments, state.handler(), result, error);
   REQUIRE(log);
-  log->append(view(record(1)));
+  log->append(byte_view(record(1)));
   REQUIRE(log->commit() == 0);
-  files.room = 90;
-  log->append(view(record(2)));
-  log->append(view(record(3)));
+  file_system.capacity_bytes = 90;
+  log->append(byte_view(record(2)));
+  log->append(byte_view(record(3)));
   CHECK(log->commit() == ENOSPC);
   CHECK(log->read_only());
-  CHECK(log->durable() == 1);
+  CHECK(log->durable_sequence() == 1);
   CHECK(log->commit() == EROFS);
-  CHECK(log->snapshot(1, view(std::string("x"))) == EROFS);
-  CHECK(log->mend() == 0);  // cutting needs no room
+  CHECK(log->write_snapshot(1, byte_view(std::string("x"))) == EROFS);
+  CHECK(log->resume() == 0);  // truncation needs no space
   CHECK(log->commit() == ENOSPC);
-  CHECK(log->durable() == 1);
-  files.room = UINT64_MAX;
-  CHECK(log->mend() == 0);
+  CHECK(log->durable_sequence() == 1);
+  file_system.capacity_bytes = UINT64_MAX;
+  CHECK(log->resume() == 0);
   CHECK(log->commit() == 0);
-  CHECK(log->durable() == 3);
+  CHECK(log->durable_sequence() == 3);
 }
 
-TEST_CASE("any one bit of a closed log flipped: refused with file and offset, or said, never passed over") {
-  FaultyFiles files;
+TEST_CASE(
+    "a flipped bit anywhere in a closed log is reported, as an error with path and offset or in the result") {
+  FaultyFileSystem file_system;
   std::uint64_t acknowledged = 0;
-  play(files, acknowledged);
-  int refused = 0;
-  int set_aside = 0;
-  int cut = 0;
-  for (const std::string& path : files.paths()) {
-    for (std::size_t at = 0; at < files.content(path).size(); ++at) {
-      char& byte = files.content(path)[at];
+  run_workload(file_system, acknowledged);
+  int errors = 0;
+  int unusable_snapshots = 0;
+  int torn_writes = 0;
+  for (const std::string& path : file_system.paths()) {
+    for (std::size_t at = 0; at < file_system.content(path).size(); ++at) {
+      char& byte = file_system.content(path)[at];
       byte = static_cast<char>(byte ^ 1 << at % 8);
-      Book book;
-      LogState state;
-      Fault fault;
-      INFO(path << " byte " << at << ": " << fault.shown());
-      if (!read_log(files, kFolder, true, book.reader(), state, fault)) {
-        ++refused;
-        CHECK(fault.file == path);
-        CHECK(fault.offset <= at);
+      ReplayedState state;
+      ReplayResult result;
+      FileError error;
+      INFO(path << " byte " << at << ": " << error.to_string());
+      if (!read_log(file_system, kDirectory, true, state.handler(), result, error)) {
+        ++errors;
+        CHECK(error.path == path);
+        CHECK(error.offset <= at);
       } else {
-        CHECK(book.text == expected(kRecords));
-        set_aside += state.set_aside.empty() ? 0 : 1;
-        cut += state.cut ? 1 : 0;
-        // What the snapshot covers is not read for recovery; a reading of all finds it.
-        if (state.set_aside.empty() && !state.cut)
-          CHECK((!read_log(files, kFolder, false, {}, state, fault) || !state.set_aside.empty()));
+        CHECK(state.text == expected_text(kRecordCount));
+        unusable_snapshots += result.unusable_snapshots.empty() ? 0 : 1;
+        torn_writes += result.torn_write ? 1 : 0;
+        // Recovery skips segments that the snapshot covers; a full read must find the corruption there.
+        if (result.unusable_snapshots.empty() && !result.torn_write)
+          CHECK((!read_log(file_system, kDirectory, false, {}, result, error) ||
+                 !result.unusable_snapshots.empty()));
       }
       byte = static_cast<char>(byte ^ 1 << at % 8);
     }
   }
-  CHECK(refused > 100);
-  CHECK(set_aside > 100);
-  CHECK(cut == 24);  // the closing mark itself
+  CHECK(errors > 100);
+  CHECK(unusable_snapshots > 100);
+  CHECK(torn_writes == 24);  // the bytes of the final durability marker
 }
 
-TEST_CASE("missing files are refused by name") {
-  FaultyFiles files;
+TEST_CASE("a missing segment is reported with the records it held") {
+  FaultyFileSystem file_system;
   std::uint64_t acknowledged = 0;
-  play(files, acknowledged);
+  run_workload(file_system, acknowledged);
   std::vector<std::string> segments;
-  for (const auto& path : files.paths()) {
+  for (const auto& path : file_system.paths()) {
     if (path.find("/log-") != std::string::npos) segments.push_back(path);
   }
   REQUIRE(segments.size() >= 3);
-  files.remove(segments[segments.size() - 2]);
-  LogState state;
-  Fault fault;
-  CHECK_FALSE(read_log(files, kFolder, false, {}, state, fault));
-  CHECK(fault.text.find("are missing") != std::string::npos);
-  for (const auto& path : files.paths()) {
-    if (path.find("/snapshot-") != std::string::npos) files.remove(path);
+  file_system.remove(segments[segments.size() - 2]);
+  ReplayResult result;
+  FileError error;
+  CHECK_FALSE(read_log(file_system, kDirectory, false, {}, result, error));
+  CHECK(error.message.find("are missing") != std::string::npos);
+  for (const auto& path : file_system.paths()) {
+    if (path.find("/snapshot-") != std::string::npos) file_system.remove(path);
   }
-  CHECK_FALSE(Log::open(files, kFolder, kSmall, {}, state, fault));
-  CHECK(fault.text.find("are missing") != std::string::npos);
+  CHECK_FALSE(Log::open(file_system, kDirectory, kSmallSegments, {}, result, error));
+  CHECK(error.message.find("are missing") != std::string::npos);
 }
