--- a/src/store/log.cpp
+++ b/src/store/log.cpp
@@ -171,16 +171,17 @@
 // Returns what is wrong with a snapshot file; empty if it is valid.
 std::string validate_snapshot(ByteView bytes, std::uint64_t sequence) {
   SnapshotHeader header{};
-  if (bytes.size() < sizeof header) return "too short";
+  if (bytes.size() < sizeof header) return "snapshot is truncated: shorter than its header";
   std::memcpy(&header, bytes.data(), sizeof header);
   if (std::memcmp(header.magic, kSnapshotMagic, sizeof kSnapshotMagic) != 0 ||
       header.header_crc != crc32c(bytes.data(), offsetof(SnapshotHeader, header_crc)) ||
       header.sequence != sequence)
-    return "its head is damaged";
-  if (bytes.size() - sizeof header != header.content_size) return "of the wrong length";
+    return "snapshot header is corrupt";
+  if (bytes.size() - sizeof header != header.content_size)
+    return "snapshot size differs from the size in its header";
   return header.content_crc == crc32c(bytes.data() + sizeof header, header.content_size)
              ? ""
-             : "its content is damaged";
+             : "snapshot content does not match its checksum";
 }
 
 struct LogFiles {
@@ -221,18 +222,18 @@
     return false;
   };
   if (const int e = list_log_files(file_system, directory, files); e != 0)
-    return fail("", 0, "cannot be listed", e);
+    return fail("", 0, "cannot list the directory", e);
   std::vector<std::uint8_t> bytes;
   if (from_snapshot) {
     for (auto s = files.snapshots.rbegin(); s != files.snapshots.rend() && result.snapshot_sequence == 0;
          ++s) {
       const std::string name = numbered_file_name("snapshot", *s);
       if (const int e = read_file_bytes(file_system, directory + "/" + name, bytes); e != 0)
-        return fail(name, 0, "cannot be read", e);
+        return fail(name, 0, "cannot read the snapshot", e);
       std::string problem = validate_snapshot(bytes, *s);
       if (problem.empty() && handler.load_snapshot &&
           !handler.load_snapshot(*s, ByteView(bytes).subspan(sizeof(SnapshotHeader))))
-        problem = "of no use";
+        problem = "snapshot content cannot be loaded";
       if (problem.empty()) result.snapshot_sequence = *s;
       else result.unusable_snapshots.push_back({directory + "/" + name, 0, problem, 0});
     }
@@ -240,7 +241,7 @@
   for (const std::uint64_t s : from_snapshot ? std::vector<std::uint64_t>{} : files.snapshots) {
     const std::string name = numbered_file_name("snapshot", s);
     if (const int e = read_file_bytes(file_system, directory + "/" + name, bytes); e != 0)
-      return fail(name, 0, "cannot be read", e);
+      return fail(name, 0, "cannot read the snapshot", e);
     if (const std::string problem = validate_snapshot(bytes, s); !problem.empty())
       result.unusable_snapshots.push_back({directory + "/" + name, 0, problem, 0});
   }
@@ -255,7 +256,7 @@
                     (unusable ? "; " + unusable->to_string() : ""));
   }
   if (from_snapshot && files.segments.empty() && !result.unusable_snapshots.empty())
-    return fail("", 0, "no log; " + result.unusable_snapshots.front().to_string());
+    return fail("", 0, "no log segment found; " + result.unusable_snapshots.front().to_string());
   result.last_sequence = result.snapshot_sequence;
   std::uint64_t next_sequence = files.segments.empty() ? first_needed : files.segments.front();
   for (std::size_t i = 0; i < files.segments.size(); ++i) {
@@ -273,7 +274,7 @@
       continue;
     }
     if (const int e = read_file_bytes(file_system, directory + "/" + name, bytes); e != 0)
-      return fail(name, 0, "cannot be read", e);
+      return fail(name, 0, "cannot read the segment", e);
     const SegmentScan scan =
         scan_segment(bytes, first_sequence, [&](std::uint64_t sequence, ByteView record) {
           if ((!from_snapshot || sequence >= first_needed) && handler.apply_record)
@@ -283,18 +284,19 @@
     ++result.segment_count;
     if (scan.corrupt || (!newest && (scan.trailing_data || !scan.header_valid)))
       return fail(name, scan.header_valid ? scan.valid_size : 0,
-                  "a damaged record; " + std::to_string(scan.next_sequence) + " was expected");
+                  "corrupt data where record " + std::to_string(scan.next_sequence) + " was expected");
     if (newest) newest_segment = {first_sequence, scan.valid_size, scan.durable_sequence, !scan.header_valid};
     if (scan.trailing_data || !scan.header_valid)
       result.torn_write =
           FileError{directory + "/" + name, scan.valid_size,
-                    "a torn tail of " + std::to_string(bytes.size() - scan.valid_size) + " bytes", 0};
+                    "torn write of " + std::to_string(bytes.size() - scan.valid_size) + " bytes", 0};
     next_sequence = scan.next_sequence;
     result.last_sequence = std::max(result.last_sequence, next_sequence - 1);
   }
   if (next_sequence < first_needed && !files.segments.empty())
-    return fail(numbered_file_name("log", files.segments.back()), 0,
-                "the log ends before the snapshot of " + std::to_string(first_needed - 1));
+    return fail(
+        numbered_file_name("log", files.segments.back()), 0,
+        "the log ends before record " + std::to_string(first_needed - 1) + ", which the snapshot covers");
   return true;
 }
 
@@ -320,10 +322,11 @@
     return nullptr;
   };
   if (const int e = file_system.create_directories(directory); e != 0)
-    return fail(directory, "cannot be made", e);
+    return fail(directory, "cannot create the directory", e);
   std::unique_ptr<Log> log(new Log(file_system, directory, options));
   if (const int e = file_system.lock(directory + "/lock", log->lock_file_); e != 0)
-    return fail(directory + "/lock", e == EWOULDBLOCK ? "has another owner" : "cannot be locked", e);
+    return fail(directory + "/lock",
+                e == EWOULDBLOCK ? "the log is in use by another process" : "cannot lock the file", e);
   NewestSegment newest_segment;
   LogFiles files;
   if (!replay(file_system, directory, true, handler, result, newest_segment, files, error)) return nullptr;
@@ -334,20 +337,20 @@
   if (newest_segment.first_sequence != 0) {
     const std::string path = directory + "/" + numbered_file_name("log", newest_segment.first_sequence);
     if (newest_segment.header_missing) {
-      if (const int e = file_system.remove(path); e != 0) return fail(path, "cannot be removed", e);
+      if (const int e = file_system.remove(path); e != 0) return fail(path, "cannot remove the segment", e);
       if (const int e = file_system.sync_directory(directory); e != 0)
-        return fail(directory, "cannot be synced", e);
+        return fail(directory, "cannot sync the directory", e);
     } else {
       if (const int e = file_system.open(path, OpenMode::kAppend, log->segment_); e != 0)
-        return fail(path, "cannot be opened", e);
+        return fail(path, "cannot open the segment", e);
       if (result.torn_write) {
         if (const int e = log->segment_->truncate(newest_segment.valid_size); e != 0)
-          return fail(path, "cannot be cut", e);
+          return fail(path, "cannot truncate the segment", e);
       }
       // Records and file names that were replayed may not be durable yet.
-      if (const int e = log->segment_->sync(); e != 0) return fail(path, "cannot be synced", e);
+      if (const int e = log->segment_->sync(); e != 0) return fail(path, "cannot sync the segment", e);
       if (const int e = file_system.sync_directory(directory); e != 0)
-        return fail(directory, "cannot be synced", e);
+        return fail(directory, "cannot sync the directory", e);
       log->segment_path_ = path;
       log->segment_size_ = log->durable_segment_size_ = newest_segment.valid_size;
     }
--- a/src/store/log_writer.cpp
+++ b/src/store/log_writer.cpp
@@ -14,7 +14,8 @@
     : loop_(loop), log_(std::move(log)), options_(options), observer_(observer) {
   last_sequence_ = durable_sequence_ = reported_durable_sequence_ = log_->last_sequence();
   int pipe_ends[2];
-  if (::pipe2(pipe_ends, O_CLOEXEC | O_NONBLOCK) != 0) throw std::runtime_error("no pipe");
+  if (::pipe2(pipe_ends, O_CLOEXEC | O_NONBLOCK) != 0)
+    throw std::runtime_error("cannot create the log writer's wake-up pipe");
   wake_pipe_read_ = Fd(pipe_ends[0]);
   wake_pipe_write_ = Fd(pipe_ends[1]);
   loop_.watch(wake_pipe_read_.get(), *this);
--- a/tests/store/log_test.cpp
+++ b/tests/store/log_test.cpp
@@ -113,7 +113,7 @@
   const auto log = Log::open(file_system, kDirectory, kSmallSegments, {}, result, error);
   REQUIRE(log);
   CHECK_FALSE(Log::open(file_system, kDirectory, kSmallSegments, {}, result, error));
-  CHECK(error.message == "has another owner");
+  CHECK(error.message == "the log is in use by another process");
 }
 
 TEST_CASE("after a crash before or after any call, recovery keeps all acknowledged records in order") {
