--- a/src/store/log.cpp
+++ b/src/store/log.cpp
@@ -40,6 +40,7 @@
   std::uint64_t durable_sequence;
 };
 static_assert(sizeof(RecordHeader) == 24);
+// The checksum covers the header's bytes before and after its own field.
 constexpr std::size_t kRecordCrcStart = offsetof(RecordHeader, crc);
 constexpr std::size_t kRecordCrcEnd = offsetof(RecordHeader, sequence);
 
--- a/src/store/log.h
+++ b/src/store/log.h
@@ -23,8 +23,9 @@
   std::string to_string() const;
 };
 
+// Limits and retention.
 struct LogOptions {
-  std::uint64_t segment_bytes = std::uint64_t{64} << 20;  // a segment of this size is followed by a new one
+  std::uint64_t segment_bytes = std::uint64_t{64} << 20;  // size from which on a new segment is started
   std::size_t snapshots_to_keep = 2;                      // with the segments that the oldest of them needs
   bool keep_all_segments = false;                         // compaction removes snapshots only
 };
@@ -38,9 +39,10 @@
   std::function<void(std::uint64_t sequence, ByteView record)> apply_record;
 };
 
+// What a replay found.
 struct ReplayResult {
   std::uint64_t snapshot_sequence = 0;  // last record covered by the snapshot that was loaded; 0: none was
-  std::uint64_t first_sequence = 1;     // oldest record in the segments
+  std::uint64_t first_sequence = 1;     // oldest record in the segments; without segments, the next one
   std::uint64_t last_sequence = 0;      // newest record
   std::uint64_t bytes_read = 0;         // from segments
   std::size_t segment_count = 0;
@@ -54,6 +56,7 @@
 bool read_log(FileSystem& file_system, const std::string& directory, bool from_snapshot,
               const ReplayHandler& handler, ReplayResult& result, FileError& error);
 
+// A log opened for appending.
 class Log {
  public:
   // Locks the directory, replays the log from its newest usable snapshot and cuts off a torn write. Returns
--- a/src/store/log_writer.h
+++ b/src/store/log_writer.h
@@ -25,6 +25,7 @@
   virtual void on_read_only_changed(bool read_only, const std::string& reason) = 0;
 };
 
+// Limits on the records that are not durable yet, and on a commit.
 struct LogWriterOptions {
   std::size_t max_pending_records = 65536;
   std::size_t max_pending_bytes = std::size_t{32} << 20;
@@ -58,10 +59,10 @@
   void broken() override {}
   void run_thread();
 
-  // Of the loop's thread.
+  // Used by the loop's thread, unless noted.
   Loop& loop_;
-  std::unique_ptr<Log> log_;  // used only by the writer thread once it runs
-  const LogWriterOptions options_;
+  std::unique_ptr<Log> log_;        // used only by the writer thread once it runs
+  const LogWriterOptions options_;  // read by both threads
   LogWriterObserver& observer_;
   std::uint64_t last_sequence_ = 0;
   std::uint64_t durable_sequence_ = 0;
