--- a/bench/tenants.cpp
+++ b/bench/tenants.cpp
@@ -112,7 +112,7 @@
       ++out.sent;
     }
     if (press) press(r, pressing, pressed);
-    r.loop.turn(0.001);
+    r.loop.run_once(0.001);
     for (Server& v : servers) v.look();
     out.unread = std::max(out.unread, r.scheduler->unread());
     for (auto& [t, c] : quiet.answers) {
@@ -135,11 +135,11 @@
     while (clients.size() < 4)
       clients.push_back(std::make_unique<ScriptClient>(loop, r.scheduler->address()));
     for (auto& c : clients) {
-      if (!c->host->ready()) return loop.turn(0);
+      if (!c->host->ready()) return loop.run_once(0);
     }
     if (every_ > 0 && clock.now() >= next_) {
       next_ = clock.now() + every_;
-      loop.turn(0);
+      loop.run_once(0);
       for (auto& c : clients) c->answers.clear();
     }
     for (auto& c : clients) {
@@ -164,12 +164,12 @@
   r.start();
   Loop loop(r.clock);
   ScriptClient c(loop, r.scheduler->address());
-  while (!c.host->ready()) loop.turn(0), r.loop.turn(0.001);
+  while (!c.host->ready()) loop.run_once(0), r.loop.run_once(0.001);
   for (std::uint64_t n = 0; c.host->has_room(); ++n) command(c, n, nvme::opcode::kRead, n % 2 * 64, 64, 5, n);
   std::size_t most = 0;
   const double end = r.clock.now() + 2;
   while (r.clock.now() < end) {
-    r.loop.turn(0.001);
+    r.loop.run_once(0.001);
     most = std::max(most, r.scheduler->unread());
   }
   return 1e-6 * static_cast<double>(most);
--- a/bench/wire.cpp
+++ b/bench/wire.cpp
@@ -58,7 +58,7 @@
   const pid_t pid = ::fork();
   if (pid == 0) {
     body([&](const Address& a) {
-      const std::string text = a.text() + "\n";
+      const std::string text = a.to_string() + "\n";
       if (::write(pipe_ends[1], text.data(), text.size()) < 0) std::exit(1);
       ::close(pipe_ends[1]);
     });
@@ -117,7 +117,7 @@
   static int number = 0;
   const std::string path =
       "/tmp/heronworks-bench-" + std::to_string(::getpid()) + "-" + std::to_string(number++) + ".toml";
-  std::ofstream(path) << "[scheduler]\nlisten = \"127.0.0.1:0\"\n[list]\naddress = \"" << list.text()
+  std::ofstream(path) << "[scheduler]\nlisten = \"127.0.0.1:0\"\n[list]\naddress = \"" << list.to_string()
                       << "\"\n[space]\nzone_blocks = 4096\nzones = 4\nshards = 1\n[log]\nlevel = \"error\"\n"
                       << "[limits]\nconnections = 5000\nopen = 20000\n"
                       << "[[profile]]\nname = \"r\"\ncontract = " << contract
@@ -263,7 +263,7 @@
       const double end = clock.now() + 10;
       while (clock.now() < end &&
              !std::all_of(clients.begin(), clients.end(), [](auto& c) { return c->host.ready(); }))
-        loop.turn(0.01);
+        loop.run_once(0.01);
     }
   }
   const double connected = memory_of(scheduler.pid);
@@ -271,7 +271,7 @@
   for (std::uint64_t i = 0; i < 10000; ++i)
     clients[i % clients.size()]->host.submit(i, read_of(i), nullptr, 4096);
   const double end = clock.now() + 3;
-  while (clock.now() < end) loop.turn(0.01);
+  while (clock.now() < end) loop.run_once(0.01);
   std::printf(
       "\nscheduler's resident memory: %.1f MiB empty, %.1f with 1,000 connections, %.1f with 10,000 open "
       "too\n",
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -23,8 +23,8 @@
   const auto c = read(path);
   if (!c) return 2;
   std::printf("scheduler %d of %d listens on %s as %s\n", c->settings.index, c->settings.schedulers,
-              c->listen.text().c_str(), c->subsystem.c_str());
-  std::printf("watches the node list at %s, saved in %s\n", c->list.text().c_str(),
+              c->listen.to_string().c_str(), c->subsystem.c_str());
+  std::printf("watches the node list at %s, saved in %s\n", c->list.to_string().c_str(),
               c->saved_list.empty() ? "no file" : c->saved_list.c_str());
   std::uint64_t volumes = 0;
   double reserved = 0;
@@ -60,7 +60,8 @@
   Loop loop(clock);
   Log log(c->log_file, c->log_level, c->log_lines);
   gateway::Scheduler scheduler(loop, *c, log);
-  log.info(loop.now(), "started", {{"address", scheduler.address().text()}, {"index", c->settings.index}});
+  log.info(loop.now(), "started",
+           {{"address", scheduler.address().to_string()}, {"index", c->settings.index}});
   run_until_told(loop, [&](auto done) { scheduler.drain(std::move(done)); });
   log.info(loop.now(), "stopped");
   return 0;
--- a/src/gateway/list_watch.cpp
+++ b/src/gateway/list_watch.cpp
@@ -103,7 +103,7 @@
 bool save_list(const std::string& path, const std::vector<ListedNode>& nodes) {
   auto json = nlohmann::json::array();
   for (const ListedNode& n : nodes) {
-    json.push_back({{"address", n.address.text()},
+    json.push_back({{"address", n.address.to_string()},
                     {"zone", n.zone},
                     {"shard", n.shard},
                     {"listing", static_cast<int>(n.listing)},
@@ -150,7 +150,7 @@
   }
   fetching_ = true;
   again_ = false;
-  timer_ = loop_.at(loop_.now() + kCallTime, [this] {
+  timer_ = loop_.run_at(loop_.now() + kCallTime, [this] {
     if (host_) host_->close("the call for the list took too long");
   });
   page_.clear();
--- a/src/gateway/list_watch.h
+++ b/src/gateway/list_watch.h
@@ -60,7 +60,7 @@
   bool fetching_ = false;
   bool again_ = false;  // the list changed while it was fetched
   bool event_out_ = false;
-  Loop::Timer timer_ = 0;
+  Loop::TimerId timer_ = 0;
 };
 
 }  // namespace heronworks::gateway
--- a/src/gateway/node_link.cpp
+++ b/src/gateway/node_link.cpp
@@ -22,7 +22,7 @@
 
 NodeLink::NodeLink(Loop& loop, int node, Options options, NodeLinkOwner& owner)
     : loop_(loop), node_(node), options_(std::move(options)), owner_(owner), used_at_(loop.now()) {
-  idle_ = loop_.at(loop_.now() + options_.idle_close, [this] { check_idle(); });
+  idle_ = loop_.run_at(loop_.now() + options_.idle_close, [this] { check_idle(); });
 }
 
 NodeLink::~NodeLink() {
@@ -42,11 +42,11 @@
   const double until = dispatch.until;
   Entry& entry = sent_[token];
   entry.dispatch = std::move(dispatch);
-  entry.timer = loop_.at(until, [this, token] { timed_out(token); });
+  entry.timer = loop_.run_at(until, [this, token] { timed_out(token); });
   if (waiting_.size() >= options_.most_waiting) {
     // Told later: the module is in the middle of its decision.
     loop_.cancel(entry.timer);
-    entry.timer = loop_.at(loop_.now(), [this, token] {
+    entry.timer = loop_.run_at(loop_.now(), [this, token] {
       if (auto node = sent_.extract(token)) finish(std::move(node.mapped()), Outcome::kNoConnection, {});
     });
     return;
@@ -133,7 +133,7 @@
   end_waiting(Outcome::kNoConnection);
   if (!host_ || host_->unsent() == 0) return;
   loop_.cancel(stuck_);
-  stuck_ = loop_.at(loop_.now() + kDrainStuck, [this] {
+  stuck_ = loop_.run_at(loop_.now() + kDrainStuck, [this] {
     if (draining_ && host_ && host_->unsent() > 0) host_->close("bytes stuck on the way to a draining node");
   });
 }
@@ -148,7 +148,7 @@
     host_.reset();
     owner_.link_changed(node_, "node.closed", draining_ ? "drained" : "idle");
   }
-  idle_ = loop_.at(now + options_.idle_close / 4, [this] { check_idle(); });
+  idle_ = loop_.run_at(now + options_.idle_close / 4, [this] { check_idle(); });
 }
 
 }  // namespace heronworks::gateway
--- a/src/gateway/node_link.h
+++ b/src/gateway/node_link.h
@@ -59,7 +59,7 @@
  private:
   struct Entry {
     Dispatch dispatch;
-    Loop::Timer timer = 0;
+    Loop::TimerId timer = 0;
   };
 
   void pump();
@@ -80,8 +80,8 @@
   double used_at_ = 0;
   bool draining_ = false;
   bool renewing_ = false;
-  Loop::Timer idle_ = 0;
-  Loop::Timer stuck_ = 0;
+  Loop::TimerId idle_ = 0;
+  Loop::TimerId stuck_ = 0;
 };
 
 }  // namespace heronworks::gateway
--- a/src/gateway/scheduler.cpp
+++ b/src/gateway/scheduler.cpp
@@ -40,7 +40,7 @@
             static_cast<double>(config.most_bytes)) {
   Fd listener = listen_on(config.listen);
   if (!listener)
-    throw std::runtime_error("cannot listen on " + config.listen.text() + ": " + std::strerror(errno));
+    throw std::runtime_error("cannot listen on " + config.listen.to_string() + ": " + std::strerror(errno));
   own_label_ = kOwnLabel | static_cast<std::uint64_t>(config.settings.index) << 46 |
                (static_cast<std::uint64_t>((loop.now() + wall_offset_) * 1000) & 0x3fffffff) << 16;
   nvme::HostOptions list;
@@ -77,7 +77,7 @@
               {{"entries", keeper_->book().entries()}, {"period", keeper_->book().period()}});
   }
   target_ = std::make_unique<nvme::Target>(loop, std::move(listener), target_options(config), *this);
-  report_ = loop_.at(loop_.now() + kReportEvery, [this] { report(); });
+  report_ = loop_.run_at(loop_.now() + kReportEvery, [this] { report(); });
   beat_ = std::make_unique<Beat>(loop_, log_);
 }
 
@@ -92,7 +92,7 @@
   drained_ = std::move(done);
   target_->stop_accepting();
   log_.info(loop_.now(), "drain.began", {{"open", open()}});
-  draining_ = loop_.at(loop_.now(), [this] { check_drained(); });
+  draining_ = loop_.run_at(loop_.now(), [this] { check_drained(); });
 }
 
 // All answered, and their bytes with the system.
@@ -101,7 +101,7 @@
   bool waiting = target_->unsent() > 0 || !waiting_.empty();
   for (const Slot& s : slots_) waiting = waiting || (s.used && !s.answered);
   if (waiting) {
-    draining_ = loop_.at(loop_.now() + 0.01, [this] { check_drained(); });
+    draining_ = loop_.run_at(loop_.now() + 0.01, [this] { check_drained(); });
     return;
   }
   log_.info(loop_.now(), "drain.done", {{"open", open()}});
@@ -319,7 +319,7 @@
 
 void Scheduler::wake_at(double time) {
   loop_.cancel(wake_);
-  wake_ = loop_.at(time, [this] { control_->woken(now()); });
+  wake_ = loop_.run_at(time, [this] { control_->woken(now()); });
 }
 
 // ---- From nodes and the list ----
@@ -373,7 +373,7 @@
   waiting_.push_back({ticket, until, s.connection, s.sqe.cid, result, std::move(data)});
   mark_answered(s);
   if (waiting_timer_ == 0)
-    waiting_timer_ = loop_.at(std::min(until, loop_.now() + kWaitingLook), [this] { look_at_waiting(); });
+    waiting_timer_ = loop_.run_at(std::min(until, loop_.now() + kWaitingLook), [this] { look_at_waiting(); });
 }
 
 void Scheduler::entered(std::uint64_t ticket) {
@@ -400,7 +400,7 @@
     }
   }
   if (!waiting_.empty())
-    waiting_timer_ = loop_.at(std::min(next, loop_.now() + kWaitingLook), [this] { look_at_waiting(); });
+    waiting_timer_ = loop_.run_at(std::min(next, loop_.now() + kWaitingLook), [this] { look_at_waiting(); });
 }
 
 void Scheduler::ledger_state(bool read_only, const std::string& reason) {
@@ -413,7 +413,7 @@
 }
 
 void Scheduler::link_changed(int node, const char* event, const std::string& reason) {
-  nlohmann::json fields{{"node", nodes_[static_cast<std::size_t>(node)].address.text()}};
+  nlohmann::json fields{{"node", nodes_[static_cast<std::size_t>(node)].address.to_string()}};
   if (!reason.empty()) fields["reason"] = reason;
   log_.info(loop_.now(), event, std::move(fields));
 }
@@ -422,7 +422,7 @@
 std::vector<Entry> Scheduler::take_list(const std::vector<ListedNode>& nodes) {
   std::vector<Entry> entries;
   for (const ListedNode& l : nodes) {
-    Entry e = numbers_.begin(l.address.text());
+    Entry e = numbers_.begin(l.address.to_string());
     if (nodes_.size() < static_cast<std::size_t>(numbers_.most())) nodes_.emplace_back();
     NodeEntry& n = nodes_[static_cast<std::size_t>(e.node)];
     if (e.fresh) {
@@ -501,7 +501,7 @@
              {"open", open()},
              {"clients", target_->connections()}});
   reported_ = counts_;
-  report_ = loop_.at(loop_.now() + kReportEvery, [this] { report(); });
+  report_ = loop_.run_at(loop_.now() + kReportEvery, [this] { report(); });
 }
 
 }  // namespace heronworks::gateway
--- a/src/gateway/scheduler.h
+++ b/src/gateway/scheduler.h
@@ -126,7 +126,7 @@
   void enter(Slot& slot, std::uint64_t result, nvme::Bytes&& data);
   void look_at_waiting();
   void mark_answered(Slot& slot);
-  double now() const { return loop_.turn_time(); }
+  double now() const { return loop_.iteration_time(); }
   std::vector<Entry> take_list(const std::vector<ListedNode>& nodes);
   void let_go_of_gone();
   void connect_to_listed();
@@ -149,13 +149,13 @@
   std::unique_ptr<ledger::Keeper> keeper_;  // none: no ledger
   ledger::Standings standings_;
   std::deque<Waiting> waiting_;  // by ticket; bounded by what may be open, emptied as entries are durable
-  Loop::Timer waiting_timer_ = 0;
-  Loop::Timer draining_ = 0;
+  Loop::TimerId waiting_timer_ = 0;
+  Loop::TimerId draining_ = 0;
   Door door_;
   std::vector<NodeEntry> nodes_;  // by the module's index; one whose address is gone for long has no link
   NodeNumbers numbers_;           // by address
-  Loop::Timer wake_ = 0;
-  Loop::Timer report_ = 0;
+  Loop::TimerId wake_ = 0;
+  Loop::TimerId report_ = 0;
   std::unique_ptr<Beat> beat_;
   Counts counts_;
   Counts reported_;
--- a/src/host/beat.cpp
+++ b/src/host/beat.cpp
@@ -9,9 +9,9 @@
 
 void Beat::next() {
   const double now = loop_.now();
-  if (now - due_ > Loop::kStall) log_.warn(now, "stood_still", {{"seconds", now - due_}});
+  if (now - due_ > Loop::kStallSeconds) log_.warn(now, "stood_still", {{"seconds", now - due_}});
   due_ = now + kEvery;
-  timer_ = loop_.at(due_, [this] { next(); });
+  timer_ = loop_.run_at(due_, [this] { next(); });
 }
 
 void run_until_told(Loop& loop, const std::function<void(std::function<void()>)>& drain) {
--- a/src/host/beat.h
+++ b/src/host/beat.h
@@ -8,7 +8,7 @@
 
 class Beat {
  public:
-  static constexpr double kEvery = 0.02;  // s; well under Loop::kStall
+  static constexpr double kEvery = 0.02;  // s; well under Loop::kStallSeconds
 
   Beat(Loop& loop, Log& log);
   ~Beat() { loop_.cancel(timer_); }
@@ -20,7 +20,7 @@
 
   Loop& loop_;
   Log& log_;
-  Loop::Timer timer_ = 0;
+  Loop::TimerId timer_ = 0;
   double due_;
 };
 
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -22,10 +22,10 @@
   std::string body;           // without its framing
 
   // The value of the first field of this name, in any case; nullptr if there is none.
-  const std::string* find(std::string_view name) const;
-  std::size_t count(std::string_view name) const;
+  const std::string* find_field(std::string_view name) const;
+  std::size_t count_fields(std::string_view name) const;
 };
 
-bool same_name(std::string_view a, std::string_view b);
+bool equals_ignore_case(std::string_view a, std::string_view b);
 
 }  // namespace heronworks::http
--- a/src/http/reader.cpp
+++ b/src/http/reader.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-bool same_name(std::string_view a, std::string_view b) {
+bool equals_ignore_case(std::string_view a, std::string_view b) {
   if (a.size() != b.size()) return false;
   for (std::size_t i = 0; i < a.size(); ++i) {
     if (lower(a[i]) != lower(b[i])) return false;
@@ -27,16 +27,16 @@
   return true;
 }
 
-const std::string* Message::find(std::string_view name) const {
+const std::string* Message::find_field(std::string_view name) const {
   for (const Field& f : fields) {
-    if (same_name(f.name, name)) return &f.value;
+    if (equals_ignore_case(f.name, name)) return &f.value;
   }
   return nullptr;
 }
 
-std::size_t Message::count(std::string_view name) const {
+std::size_t Message::count_fields(std::string_view name) const {
   std::size_t n = 0;
-  for (const Field& f : fields) n += same_name(f.name, name) ? 1 : 0;
+  for (const Field& f : fields) n += equals_ignore_case(f.name, name) ? 1 : 0;
   return n;
 }
 
@@ -85,15 +85,15 @@
   std::optional<Writing<false>> answer;
   Message message;
 
-  Parser(Kind kind, const Bounds& bounds) {
+  Parser(MessageKind kind, const MessageLimits& limits) {
     const auto open = [&](auto& parser) {
       parser.emplace(message);
       parser->eager(true);
-      parser->header_limit(static_cast<std::uint32_t>(bounds.head + 4));
-      if (bounds.body == std::numeric_limits<std::size_t>::max()) parser->body_limit(boost::none);
-      else parser->body_limit(bounds.body);
+      parser->header_limit(static_cast<std::uint32_t>(limits.head_bytes + 4));
+      if (limits.body_bytes == std::numeric_limits<std::size_t>::max()) parser->body_limit(boost::none);
+      else parser->body_limit(limits.body_bytes);
     };
-    if (kind == Kind::kRequest) open(request);
+    if (kind == MessageKind::kRequest) open(request);
     else open(answer);
   }
   template <typename Act>
@@ -115,14 +115,14 @@
   }
 };
 
-Reader::Reader(Kind kind, Bounds bounds) : kind_(kind), bounds_(bounds) {}
+Reader::Reader(MessageKind kind, MessageLimits limits) : kind_(kind), limits_(limits) {}
 Reader::~Reader() = default;
 Reader::Reader(Reader&&) noexcept = default;
 Reader& Reader::operator=(Reader&&) noexcept = default;
 
-void Reader::fail(Fault fault, std::string reason) {
-  fault_ = fault;
-  reason_ = std::move(reason);
+void Reader::fail(ParseError fault, std::string reason) {
+  error_ = fault;
+  error_message_ = std::move(reason);
 }
 
 void Reader::reset() {
@@ -134,7 +134,7 @@
   started_ = head_done_ = done_ = until_end_ = false;
 }
 
-Message Reader::take() {
+Message Reader::take_message() {
   Message m = std::move(message_);
   reset();
   return m;
@@ -142,13 +142,13 @@
 
 std::string Reader::take_body() { return parser_ ? std::exchange(parser_->message.body, {}) : std::string(); }
 
-std::size_t Reader::body_size() const {
+std::size_t Reader::buffered_body_bytes() const {
   return done_ || !parser_ ? message_.body.size() : parser_->message.body.size();
 }
 
 // Looks at the head's bytes that are new; true at its end.
 bool Reader::scan(std::span<const std::uint8_t> bytes) {
-  const std::size_t end = std::min(bytes.size(), bounds_.head);
+  const std::size_t end = std::min(bytes.size(), limits_.head_bytes);
   std::uint8_t last = last_;
   int line = line_;
   const char* wrong = nullptr;
@@ -184,43 +184,47 @@
   scanned_ = i;
   last_ = last;
   line_ = line;
-  if (wrong != nullptr) fail(Fault::kMalformed, wrong);
-  else if (!whole && bytes.size() > bounds_.head) fail(Fault::kHeadTooLarge, "head of more than its bound");
+  if (wrong != nullptr) fail(ParseError::kMalformed, wrong);
+  else if (!whole && bytes.size() > limits_.head_bytes)
+    fail(ParseError::kHeadTooLarge, "head of more than its bound");
   return whole;
 }
 
 void Reader::open_head(std::span<const std::uint8_t> head) {
-  parser_ = std::make_unique<Parser>(kind_, bounds_);
+  parser_ = std::make_unique<Parser>(kind_, limits_);
   boost::system::error_code error;
   const auto used = parser_->put(head, error);
   if (error == beast::error::need_more) error = {};
-  if (error == beast::error::body_limit) return fail(Fault::kBodyTooLarge, "body of more than its bound");
-  if (error == beast::error::header_limit) return fail(Fault::kHeadTooLarge, "head of more than its bound");
-  if (error) return fail(Fault::kMalformed, error.message());
-  if (used != head.size()) return fail(Fault::kMalformed, "a head that ends early");
+  if (error == beast::error::body_limit)
+    return fail(ParseError::kBodyTooLarge, "body of more than its bound");
+  if (error == beast::error::header_limit)
+    return fail(ParseError::kHeadTooLarge, "head of more than its bound");
+  if (error) return fail(ParseError::kMalformed, error.message());
+  if (used != head.size()) return fail(ParseError::kMalformed, "a head that ends early");
   message_ = std::exchange(parser_->message, {});  // trailers stay behind
   message_.keep_alive = parser_->keep_alive();
-  if (message_.fields.size() > bounds_.fields)
-    return fail(Fault::kHeadTooLarge, "more fields than their bound");
-  const auto lengths = message_.count("Content-Length");
-  const auto codings = message_.count("Transfer-Encoding");
+  if (message_.fields.size() > limits_.fields)
+    return fail(ParseError::kHeadTooLarge, "more fields than their bound");
+  const auto lengths = message_.count_fields("Content-Length");
+  const auto codings = message_.count_fields("Transfer-Encoding");
   const int version = parser_->version();
-  if (version != 10 && version != 11) return fail(Fault::kMalformed, "not HTTP/1.0 or 1.1");
-  if (lengths > 1) return fail(Fault::kMalformed, "more than one Content-Length");
-  if (lengths + codings > 1) return fail(Fault::kMalformed, "Content-Length and Transfer-Encoding");
-  if (codings > 0 && (version == 10 || !same_name(*message_.find("Transfer-Encoding"), "chunked"))) {
-    return fail(Fault::kMalformed, "a Transfer-Encoding that is not chunked");
+  if (version != 10 && version != 11) return fail(ParseError::kMalformed, "not HTTP/1.0 or 1.1");
+  if (lengths > 1) return fail(ParseError::kMalformed, "more than one Content-Length");
+  if (lengths + codings > 1) return fail(ParseError::kMalformed, "Content-Length and Transfer-Encoding");
+  if (codings > 0 &&
+      (version == 10 || !equals_ignore_case(*message_.find_field("Transfer-Encoding"), "chunked"))) {
+    return fail(ParseError::kMalformed, "a Transfer-Encoding that is not chunked");
   }
-  if (kind_ == Kind::kAnswer) {
+  if (kind_ == MessageKind::kResponse) {
     const int s = message_.status;
-    if (s == 101) return fail(Fault::kMalformed, "a change of protocol");
+    if (s == 101) return fail(ParseError::kMalformed, "a change of protocol");
     until_end_ = s >= 200 && s != 204 && s != 304 && lengths + codings == 0;
   }
   head_done_ = true;
 }
 
-bool Reader::put_end() {
-  if (fault_ != Fault::kNone || done_ || !until_end_) return false;
+bool Reader::put_eof() {
+  if (error_ != ParseError::kNone || done_ || !until_end_) return false;
   message_.body = std::move(parser_->message.body);
   message_.keep_alive = false;
   return done_ = true;
@@ -228,20 +232,22 @@
 
 std::size_t Reader::put(std::span<const std::uint8_t> bytes) {
   std::size_t used = 0;
-  while (fault_ == Fault::kNone && !done_) {
+  while (error_ == ParseError::kNone && !done_) {
     auto rest = bytes.subspan(used);
     if (!head_done_) {
       // Empty lines in front of a request are to be passed over (RFC 9112, 2.2).
-      if (kind_ == Kind::kRequest && scanned_ == 0 && rest.size() >= 2 && rest[0] == kCr && rest[1] == kLf) {
+      if (kind_ == MessageKind::kRequest && scanned_ == 0 && rest.size() >= 2 && rest[0] == kCr &&
+          rest[1] == kLf) {
         used += 2;
         continue;
       }
-      if (rest.empty() || (kind_ == Kind::kRequest && scanned_ == 0 && rest.size() == 1 && rest[0] == kCr))
+      if (rest.empty() ||
+          (kind_ == MessageKind::kRequest && scanned_ == 0 && rest.size() == 1 && rest[0] == kCr))
         return used;
       started_ = true;
       if (!scan(rest)) return used;
       open_head(rest.first(scanned_));
-      if (fault_ != Fault::kNone) return used;
+      if (error_ != ParseError::kNone) return used;
       used += std::exchange(scanned_, 0);
     } else {
       if (rest.empty()) return used;
@@ -249,17 +255,18 @@
       const auto n = parser_->put(rest, error);
       used += n;
       if (error == beast::error::body_limit) {
-        fail(Fault::kBodyTooLarge, "body of more than its bound");
+        fail(ParseError::kBodyTooLarge, "body of more than its bound");
       } else if (error && error != beast::error::need_more) {
-        fail(Fault::kMalformed, error.message());
+        fail(ParseError::kMalformed, error.message());
       } else if (n == 0) {  // part of a chunk's head
-        if (rest.size() > bounds_.head) fail(Fault::kHeadTooLarge, "a chunk's head of more than its bound");
+        if (rest.size() > limits_.head_bytes)
+          fail(ParseError::kHeadTooLarge, "a chunk's head of more than its bound");
         else if (!parser_->done()) return used;
       }
-      if (fault_ != Fault::kNone) return used;
+      if (error_ != ParseError::kNone) return used;
     }
     if (!parser_->done()) continue;
-    if (kind_ == Kind::kAnswer && message_.status < 200) {
+    if (kind_ == MessageKind::kResponse && message_.status < 200) {
       reset();  // 1xx: the answer itself is still to come
       continue;
     }
--- a/src/http/writer.cpp
+++ b/src/http/writer.cpp
@@ -32,7 +32,7 @@
   }
 }
 
-Writer& Writer::request(std::string_view method, std::string_view target) {
+Writer& Writer::request_line(std::string_view method, std::string_view target) {
   text(method);
   text(" ");
   text(target);
@@ -40,7 +40,7 @@
   return *this;
 }
 
-Writer& Writer::answer(int status) {
+Writer& Writer::status_line(int status) {
   text("HTTP/1.1 ");
   text(std::to_string(status));
   text(" ");
--- a/src/http/writer.h
+++ b/src/http/writer.h
@@ -11,11 +11,11 @@
 class Writer {
  public:
   explicit Writer(std::vector<std::uint8_t>& out) : out_(out) {}
-  Writer& request(std::string_view method, std::string_view target);
-  Writer& answer(int status);
+  Writer& request_line(std::string_view method, std::string_view target);
+  Writer& status_line(int status);
   Writer& field(std::string_view name, std::string_view value);
-  void body(std::string_view bytes);  // ends the message; a request without any gets no length
-  void end() { text("\r\n"); }        // the same for a request without a body
+  void body(std::string_view bytes);         // ends the message; a request without any gets no length
+  void end_without_body() { text("\r\n"); }  // the same for a request without a body
 
  private:
   void text(std::string_view s) { out_.insert(out_.end(), s.begin(), s.end()); }
--- a/src/lab/list.cpp
+++ b/src/lab/list.cpp
@@ -11,7 +11,7 @@
                          std::vector<std::uint16_t> ports, Recorder& record)
     : loop_(loop), day_(day), start_(start), wall_(wall_offset()), ports_(std::move(ports)), record_(record) {
   Fd fd = listen_on(listen);
-  if (!fd) throw std::runtime_error("cannot listen on " + listen.text());
+  if (!fd) throw std::runtime_error("cannot listen on " + listen.to_string());
   nvme::TargetOptions o;
   o.subsystem = nvme::kDiscoveryName;
   target_ = std::make_unique<nvme::Target>(loop, std::move(fd), o, *this);
@@ -23,14 +23,14 @@
     lives_.push_back(lives_of(day, n));
     for (const Life& l : lives_.back()) {
       for (const double t : {l.from, l.drained_at, l.to}) {
-        if (t > -1e8 && t < 1e8) loop_.at(start + t + day.notice, changed);
+        if (t > -1e8 && t < 1e8) loop_.run_at(start + t + day.notice, changed);
       }
     }
   }
   for (const Act& a : day.acts) {
     if (a.trouble != Trouble::kListDown) continue;
-    loop_.at(start + a.from, [this] { target_->reset_all(); });
-    loop_.at(start + a.to + 0.001, changed);
+    loop_.run_at(start + a.from, [this] { target_->reset_all(); });
+    loop_.run_at(start + a.to + 0.001, changed);
   }
 }
 
@@ -95,7 +95,7 @@
   if (page != nvme::kLogDiscovery)
     return void(target_->complete(connection, cid, nvme::status::kInvalidLogPage));
   if (down()) return;
-  loop_.at(loop_.now() + day_.call_time, [this, connection, cid, offset, length] {
+  loop_.run_at(loop_.now() + day_.call_time, [this, connection, cid, offset, length] {
     Event told;
     const nvme::Bytes bytes = page_now(told.nodes);
     if (offset > bytes.size()) return void(target_->complete(connection, cid, nvme::status::kInvalidField));
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -80,7 +80,7 @@
   void down(const std::string&) override {
     host_.reset();
     leaving_ = false;
-    load_.loop_.at(load_.loop_.now() + kReconnect, [this, alive = alive_] {
+    load_.loop_.run_at(load_.loop_.now() + kReconnect, [this, alive = alive_] {
       if (*alive) connect();
     });
   }
@@ -127,26 +127,26 @@
     }
   }
   next_at_ = start_;
-  loop_.at(start_, [this] { arrive(); });
-  loop_.at(start_ + 1, [this] { second(); });
+  loop_.run_at(start_, [this] { arrive(); });
+  loop_.run_at(start_ + 1, [this] { second(); });
   beat();
   for (const Act& a : day.acts) {
-    if (a.trouble == Trouble::kLeadMoves) loop_.at(start_ + a.from, [this] { lead_moves(); });
+    if (a.trouble == Trouble::kLeadMoves) loop_.run_at(start_ + a.from, [this] { lead_moves(); });
     if (a.trouble == Trouble::kClientLeaves) {
-      loop_.at(start_ + a.from, [this, via = a.target] {
+      loop_.run_at(start_ + a.from, [this, via = a.target] {
         for (auto& c : clients_) {
           if (c->via() == via) return c->leave();
         }
       });
     }
   }
-  loop_.at(start_ + day.seconds + kStopAfter, [this] { finish(); });
+  loop_.run_at(start_ + day.seconds + kStopAfter, [this] { finish(); });
 }
 
 Load::~Load() = default;
 
 void Load::beat() {
-  loop_.at(loop_.now() + kBeat, [this] { beat(); });
+  loop_.run_at(loop_.now() + kBeat, [this] { beat(); });
 }
 
 double Load::draw(double from, double to) {
@@ -261,7 +261,7 @@
     t.until = now + day_.settings.profiles[static_cast<std::size_t>(t.profile)].cut_off;
     launch(t);
   }
-  loop_.at(next_at_, [this] { arrive(); });
+  loop_.run_at(next_at_, [this] { arrive(); });
 }
 
 Event Load::event(const Transaction& t, Kind kind, double at) const {
@@ -344,7 +344,7 @@
   if (again && t.attempt < day_.retries && loop_.now() + wait + 0.05 < t.until) {
     ++t.attempt;
     ++retrying_;
-    loop_.at(loop_.now() + wait, [this, t] {
+    loop_.run_at(loop_.now() + wait, [this, t] {
       --retrying_;
       launch(t);
       check_finished();
@@ -364,7 +364,7 @@
   t.via = hosts[0] == t.via ? hosts[1] : hosts[0];
   ++t.attempt;
   ++retrying_;
-  loop_.at(loop_.now() + day_.backoff, [this, t] {
+  loop_.run_at(loop_.now() + day_.backoff, [this, t] {
     --retrying_;
     launch(t);
     check_finished();
@@ -395,7 +395,7 @@
       "%s\n",
       t, c.sent, c.honoured, c.in_time, c.turned_back, c.given_up, c.errors, c.lost, acting.c_str());
   std::fflush(stdout);
-  loop_.at(start_ + std::floor(t + 0.5) + 1, [this] { second(); });
+  loop_.run_at(start_ + std::floor(t + 0.5) + 1, [this] { second(); });
 }
 
 }  // namespace heronworks::lab
--- a/src/lab/node.cpp
+++ b/src/lab/node.cpp
@@ -34,7 +34,7 @@
       meter_(options.folder + "/meter", day),
       served_(volumes_.size()) {
   Fd fd = listen_on(options.listen);
-  if (!fd) throw std::runtime_error("cannot listen on " + options.listen.text());
+  if (!fd) throw std::runtime_error("cannot listen on " + options.listen.to_string());
   nvme::TargetOptions o;
   o.subsystem = kNodeSubsystem;
   o.mdts = 8;
@@ -49,8 +49,8 @@
   up.life = options.life;
   up.frac = speed_ * day.cores;
   record_.write(up);
-  if (day.pause_every > 0) loop_.at(loop_.now() + draw(0.3, 1) * day.pause_every, [this] { pause(); });
-  if (day.deferred > 0) loop_.at(loop_.now() + draw(0.3, 1) * day.flush_every, [this] { flush(); });
+  if (day.pause_every > 0) loop_.run_at(loop_.now() + draw(0.3, 1) * day.pause_every, [this] { pause(); });
+  if (day.deferred > 0) loop_.run_at(loop_.now() + draw(0.3, 1) * day.flush_every, [this] { flush(); });
 }
 
 double StandInNode::draw(double from, double to) {
@@ -87,8 +87,9 @@
   const Act* more = acting(Trouble::kPauses);
   const double length = day_.pause_time * draw(0.5, 1.5) * (more ? more->size : 1);
   still_until_ = std::max(still_until_, loop_.now() + length);
-  loop_.at(still_until_, [this] { next(); });
-  loop_.at(loop_.now() + length + day_.pause_every * draw(0.5, 1.5) / (more ? 4 : 1), [this] { pause(); });
+  loop_.run_at(still_until_, [this] { next(); });
+  loop_.run_at(loop_.now() + length + day_.pause_every * draw(0.5, 1.5) / (more ? 4 : 1),
+               [this] { pause(); });
 }
 
 // What writes have put off is done in one go, by all cores.
@@ -96,9 +97,9 @@
   const double length = std::exchange(deferred_, 0) * slowness() / day_.cores;
   if (length > 0) {
     still_until_ = std::max(still_until_, loop_.now() + length);
-    loop_.at(still_until_, [this] { next(); });
+    loop_.run_at(still_until_, [this] { next(); });
   }
-  loop_.at(loop_.now() + length + day_.flush_every * draw(0.7, 1.3), [this] { flush(); });
+  loop_.run_at(loop_.now() + length + day_.flush_every * draw(0.7, 1.3), [this] { flush(); });
 }
 
 nvme::Status StandInNode::identify(std::uint8_t cns, std::uint8_t, std::uint32_t, nvme::Bytes&) {
@@ -225,7 +226,7 @@
     if (now < still_until_) return;
     if (const Act* a = acting(Trouble::kHang)) {
       still_until_ = options_.start + a->to;
-      loop_.at(still_until_, [this] { next(); });
+      loop_.run_at(still_until_, [this] { next(); });
       return;
     }
     Job job = std::move(queue_.front());
@@ -240,7 +241,7 @@
       cost *= 1 - day_.deferred;
     }
     ++running_;
-    loop_.at(now + cost * slowness(), [this, held = std::make_shared<Job>(std::move(job))] {
+    loop_.run_at(now + cost * slowness(), [this, held = std::make_shared<Job>(std::move(job))] {
       --running_;
       ran(std::move(*held));
       next();
--- a/src/lab/receiver.cpp
+++ b/src/lab/receiver.cpp
@@ -10,18 +10,18 @@
 
 namespace heronworks::lab {
 
-class Receiver::Connection final : public StreamOwner, public ledger::ReceiverHost {
+class Receiver::Connection final : public StreamHandler, public ledger::ReceiverHost {
  public:
   Connection(Receiver& r, Fd fd) : r_(r), stream_(r.loop_, std::move(fd), *this) {}
   bool open() const { return stream_.open(); }
 
-  std::size_t received(std::span<const std::uint8_t> bytes) override {
+  std::size_t on_received(std::span<const std::uint8_t> bytes) override {
     const auto used = ledger::unframe(bytes, [this](const ledger::wire::Frame& f) { message(f); });
     if (used != SIZE_MAX) return used;
     stream_.close();
     return bytes.size();
   }
-  void lost(const std::string&) override {}
+  void on_closed(const std::string&) override {}
 
   void take(std::uint64_t offset, const std::string& bytes) override {
     now_->bytes.replace(offset, std::string::npos, bytes);
@@ -88,7 +88,7 @@
     const ReceiverOptions& o = r_.options_;
     if (chance < o.lose_answer) return stream_.close();
     if (chance < o.lose_answer + o.answer_late) {
-      r_.loop_.at(r_.loop_.now() + kLate, out);
+      r_.loop_.run_at(r_.loop_.now() + kLate, out);
       return;
     }
     out();
@@ -106,7 +106,7 @@
   random_.discard(16);  // the first of small seeds are small
   if (files_.make_folder(options.folder) != 0) throw std::runtime_error("cannot make " + options.folder);
   Fd fd = listen_on(options.listen);
-  if (!fd) throw std::runtime_error("cannot listen on " + options.listen.text());
+  if (!fd) throw std::runtime_error("cannot listen on " + options.listen.to_string());
   listener_ = std::make_unique<Listener>(loop, std::move(fd), [this](Fd accepted) {
     // Closed ones stay until the end: late answers may still name them; a stand-in sees few.
     connections_.push_back(std::make_unique<Connection>(*this, std::move(accepted)));
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -75,8 +75,8 @@
       for (std::size_t i = 0; i < lives.size(); ++i) {
         const int life = static_cast<int>(i);
         if (i == 0) start_node(n, life);
-        else loop_.at(start_ + lives[i].from, [this, n, life] { start_node(n, life); });
-        if (lives[i].to < 1e8) loop_.at(start_ + lives[i].to, [this, n] { end(node_[n]); });
+        else loop_.run_at(start_ + lives[i].from, [this, n, life] { start_node(n, life); });
+        if (lives[i].to < 1e8) loop_.run_at(start_ + lives[i].to, [this, n] { end(node_[n]); });
       }
     }
     std::string ports;
@@ -94,21 +94,21 @@
     }
     for (const Act& a : day_.acts) {
       if (a.trouble == Trouble::kSchedulerKilled) {
-        loop_.at(start_ + a.from, [this, s = a.target] {
+        loop_.run_at(start_ + a.from, [this, s = a.target] {
           say(Kind::kKilled, s);
           end(scheduler_[s]);
         });
-        loop_.at(start_ + a.to, [this, s = a.target] { start_scheduler(s); });
+        loop_.run_at(start_ + a.to, [this, s = a.target] { start_scheduler(s); });
       } else if (a.trouble == Trouble::kDiskFull) {
         // No file of that process may grow: to it, that is a full disk.
-        loop_.at(start_ + a.from, [this, s = a.target] { let_files_grow(s, false); });
-        loop_.at(start_ + a.to, [this, s = a.target] { let_files_grow(s, true); });
+        loop_.run_at(start_ + a.from, [this, s = a.target] { let_files_grow(s, false); });
+        loop_.run_at(start_ + a.to, [this, s = a.target] { let_files_grow(s, true); });
       } else if (a.trouble == Trouble::kSchedulerStopped) {
-        loop_.at(start_ + a.from, [this, s = a.target] {
+        loop_.run_at(start_ + a.from, [this, s = a.target] {
           say(Kind::kStopped, s);
           if (scheduler_[s] > 0) ::kill(scheduler_[s], SIGSTOP);
         });
-        loop_.at(start_ + a.to, [this, s = a.target] {
+        loop_.run_at(start_ + a.to, [this, s = a.target] {
           if (scheduler_[s] > 0) ::kill(scheduler_[s], SIGCONT);
           say(Kind::kContinued, s);
         });
@@ -117,7 +117,7 @@
     load_ =
         start("load", {options_.self, "load", day_.file, "--seed", std::to_string(day_.seed), "--start",
                        std::to_string(start_), "--schedulers", doors, "--record", folder_ + "/load.record"});
-    loop_.at(start_ + day_.seconds + 30, [this] {
+    loop_.run_at(start_ + day_.seconds + 30, [this] {
       result_.faults.push_back("the day did not end");
       loop_.stop();
     });
@@ -222,7 +222,7 @@
     for (auto& [s, pid] : scheduler_) {
       if (pid > 0 && children_.contains(pid)) ::kill(pid, SIGTERM);
     }
-    loop_.at(loop_.now() + kDrainTime, [this] {
+    loop_.run_at(loop_.now() + kDrainTime, [this] {
       result_.faults.push_back("a scheduler did not end after SIGTERM");
       loop_.stop();
     });
--- a/src/ledger/export_run.cpp
+++ b/src/ledger/export_run.cpp
@@ -19,7 +19,7 @@
   return out + "\"";
 }
 
-class Run final : public SenderHost, public StreamOwner {
+class Run final : public SenderHost, public StreamHandler {
  public:
   Run(store::Log& log, Desk& desk, wire::Intent intent, const std::string& bytes, const Address& to,
       double patience)
@@ -35,8 +35,8 @@
 
   ExportResult go() {
     loop_.defer([this] { sender_.start(*this); });
-    loop_.at(loop_.now() + patience_,
-             [this] { finished(false, "no answer in time; the export may be run again"); });
+    loop_.run_at(loop_.now() + patience_,
+                 [this] { finished(false, "no answer in time; the export may be run again"); });
     loop_.run();
     return result_;
   }
@@ -56,7 +56,7 @@
   }
   void connect() override {
     stream_.reset();
-    loop_.at(loop_.now() + wait_, [this] {
+    loop_.run_at(loop_.now() + wait_, [this] {
       wait_ = std::min(wait_ == 0 ? kBackoff : 2 * wait_, 100 * kBackoff);
       Fd fd = connect_to(to_);
       if (!fd) return sender_.lost(*this);
@@ -88,8 +88,8 @@
     loop_.stop();
   }
 
-  void connected() override { sender_.connected(*this); }
-  std::size_t received(std::span<const std::uint8_t> bytes) override {
+  void on_connected() override { sender_.connected(*this); }
+  std::size_t on_received(std::span<const std::uint8_t> bytes) override {
     const auto used = unframe(bytes, [this](const wire::Frame& f) {
       if (f.has_want() && f.want().id() == intent_.id()) sender_.want(*this, f.want().offset());
       if (f.has_stored() && f.stored().id() == intent_.id()) sender_.stored(*this, f.stored().digest());
@@ -99,7 +99,7 @@
     finished(false, "the receiver speaks another protocol");
     return bytes.size();
   }
-  void lost(const std::string&) override {
+  void on_closed(const std::string&) override {
     loop_.defer([this] { sender_.lost(*this); });
   }
 
--- a/src/ledger/keeper.cpp
+++ b/src/ledger/keeper.cpp
@@ -61,7 +61,7 @@
   records.clear();
   const std::uint64_t last = writer_->last();
   if (last <= durable_) return;
-  const double at = loop_.turn_time();
+  const double at = loop_.iteration_time();
   if (!groups_.empty() && groups_.back().second == at) groups_.back().first = last;
   else groups_.push_back({last, at});
 }
@@ -83,7 +83,7 @@
   }
   if (book_.period() != snapshot_period_ && writer_->snapshot(book_.snapshot()))
     snapshot_period_ = book_.period();
-  tick_ = loop_.at(loop_.now() + kTick, [this] { tick(); });
+  tick_ = loop_.run_at(loop_.now() + kTick, [this] { tick(); });
 }
 
 void Keeper::durable(std::uint64_t sequence) {
--- a/src/ledger/keeper.h
+++ b/src/ledger/keeper.h
@@ -62,7 +62,7 @@
   std::uint64_t durable_ = 0;
   std::int64_t snapshot_period_ = -1;
   bool doubted_ = false;
-  Loop::Timer tick_ = 0;
+  Loop::TimerId tick_ = 0;
 };
 
 }  // namespace heronworks::ledger
--- a/src/loop/fd.cpp
+++ b/src/loop/fd.cpp
@@ -65,7 +65,7 @@
   fd_ = -1;
 }
 
-std::string Address::text() const {
+std::string Address::to_string() const {
   const std::string p = ":" + std::to_string(port);
   return host.find(':') == std::string::npos ? host + p : "[" + host + "]" + p;
 }
--- a/src/loop/fd.h
+++ b/src/loop/fd.h
@@ -35,7 +35,7 @@
 struct Address {
   std::string host;
   std::uint16_t port = 0;
-  std::string text() const;
+  std::string to_string() const;
   bool operator==(const Address&) const = default;
   // "127.0.0.1:4420" or "[::1]:4420"; nothing if it is neither.
   static std::optional<Address> parse(const std::string& text);
--- a/src/loop/loop.cpp
+++ b/src/loop/loop.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-Loop::Loop(const Clock& clock) : clock_(clock), turn_time_(clock.now()), looked_at_(turn_time_) {
+Loop::Loop(const Clock& clock) : clock_(clock), iteration_time_(clock.now()), looked_at_(iteration_time_) {
   int ends[2];
   if (::pipe2(ends, O_NONBLOCK | O_CLOEXEC) != 0) throw std::runtime_error("no pipe for signals");
   signal_read_ = Fd(ends[0]);
@@ -45,7 +45,7 @@
   }
 }
 
-void Loop::watch(int fd, Pollable& owner) {
+void Loop::watch(int fd, PollHandler& owner) {
   if (++births_ == 0) ++births_;  // 0 is the signals'
   slots_[fd] = {&owner, births_, EPOLLIN};
   epoll_event event{EPOLLIN, {.u64 = key(fd, births_)}};
@@ -53,7 +53,7 @@
     throw std::runtime_error("epoll takes no more");
 }
 
-void Loop::interest(int fd, bool read, bool write) {
+void Loop::set_interest(int fd, bool read, bool write) {
   const auto slot = slots_.find(fd);
   if (slot == slots_.end()) return;
   const std::uint32_t events = (read ? EPOLLIN : 0U) | (write ? EPOLLOUT : 0U);
@@ -77,8 +77,8 @@
                       static_cast<int>(std::ceil(most * 1e3)));
 }
 
-Loop::Timer Loop::at(double time, Action action) {
-  const Timer id = ++last_timer_;
+Loop::TimerId Loop::run_at(double time, Action action) {
+  const TimerId id = ++last_timer_;
   timers_.emplace(id, std::move(action));
   heap_.push_back({time, id});
   std::push_heap(heap_.begin(), heap_.end(), std::greater<>());
@@ -104,7 +104,7 @@
 
 void Loop::run() {
   stopped_ = false;
-  while (!stopped_) turn(3600);
+  while (!stopped_) run_once(3600);
 }
 
 void Loop::run_deferred() {
@@ -116,9 +116,9 @@
 }
 
 void Loop::run_timers() {
-  turn_time_ = clock_.now();
-  while (!heap_.empty() && heap_.front().time <= turn_time_) {
-    const Timer id = heap_.front().id;
+  iteration_time_ = clock_.now();
+  while (!heap_.empty() && heap_.front().time <= iteration_time_) {
+    const TimerId id = heap_.front().id;
     std::pop_heap(heap_.begin(), heap_.end(), std::greater<>());
     heap_.pop_back();
     const auto timer = timers_.find(id);
@@ -130,7 +130,7 @@
   }
 }
 
-void Loop::turn(double most) {
+void Loop::run_once(double most) {
   run_deferred();
   while (!heap_.empty() && !timers_.contains(heap_.front().id)) {
     std::pop_heap(heap_.begin(), heap_.end(), std::greater<>());
@@ -140,11 +140,11 @@
   std::array<epoll_event, kAtOnce> events;
   const int ready = wait(most, events);
   if (ready < 0) return;  // interrupted: nothing was looked at
-  turn_time_ = clock_.now();
-  const double last_look = std::exchange(looked_at_, turn_time_);
-  if (turn_time_ - last_look > kStall) {
-    if (turn_time_ > stall_seen_ + kSettle) stall_from_ = last_look;
-    stall_seen_ = turn_time_;
+  iteration_time_ = clock_.now();
+  const double last_look = std::exchange(looked_at_, iteration_time_);
+  if (iteration_time_ - last_look > kStallSeconds) {
+    if (iteration_time_ > stall_seen_ + kStallRecoverySeconds) stall_from_ = last_look;
+    stall_seen_ = iteration_time_;
   }
   for (const epoll_event& e : std::span(events).first(static_cast<std::size_t>(ready))) {
     const int fd = static_cast<int>(e.data.u64 & 0xffffffff);
@@ -159,18 +159,18 @@
       continue;
     }
     // Callbacks may watch and unwatch: each time it is checked that the owner is still the same.
-    const auto alive = [&]() -> Pollable* {
+    const auto alive = [&]() -> PollHandler* {
       const auto slot = slots_.find(fd);
       return slot != slots_.end() && slot->second.birth == birth ? slot->second.owner : nullptr;
     };
     if (e.events & EPOLLIN) {
-      if (Pollable* p = alive()) p->readable();
+      if (PollHandler* p = alive()) p->on_readable();
     }
     if (e.events & EPOLLOUT) {
-      if (Pollable* p = alive()) p->writable();
+      if (PollHandler* p = alive()) p->on_writable();
     }
     if ((e.events & (EPOLLERR | EPOLLHUP)) && !(e.events & EPOLLIN)) {
-      if (Pollable* p = alive()) p->broken();
+      if (PollHandler* p = alive()) p->on_hangup();
     }
     run_deferred();
   }
--- a/src/loop/stream.cpp
+++ b/src/loop/stream.cpp
@@ -10,14 +10,14 @@
 
 namespace heronworks {
 
-Stream::Stream(Loop& loop, Fd fd, StreamOwner& owner, bool connecting, Bounds bounds)
-    : loop_(loop), fd_(std::move(fd)), owner_(owner), bounds_(bounds), connecting_(connecting) {
+Stream::Stream(Loop& loop, Fd fd, StreamHandler& owner, bool connecting, BufferLimits limits)
+    : loop_(loop), fd_(std::move(fd)), owner_(owner), limits_(limits), connecting_(connecting) {
   loop_.watch(fd_.get(), *this);
   update();
 }
 
 void Stream::update() {
-  if (fd_) loop_.interest(fd_.get(), !paused_ && !connecting_, connecting_ || unsent() > 0);
+  if (fd_) loop_.set_interest(fd_.get(), !paused_ && !connecting_, connecting_ || unsent() > 0);
 }
 
 void Stream::close() {
@@ -30,15 +30,15 @@
 void Stream::fail(const std::string& reason) {
   if (!fd_) return;
   close();
-  owner_.lost(reason);
+  owner_.on_closed(reason);
 }
 
 void Stream::end() {
   close();
-  owner_.ended();
+  owner_.on_peer_closed();
 }
 
-void Stream::mark_arrivals() {
+void Stream::enable_receive_timestamps() {
   const int on = 1;
   marks_ = setsockopt(fd_.get(), SOL_SOCKET, SO_TIMESTAMPNS, &on, sizeof on) == 0;
 }
@@ -70,7 +70,7 @@
   if (unsent() == 0) {
     out_.clear();
     out_done_ = 0;
-    if (bounds_.gives_back) out_ = {};
+    if (limits_.free_when_empty) out_ = {};
     if (std::exchange(finishing_, false)) ::shutdown(fd_.get(), SHUT_WR);
   } else if (out_done_ > (std::size_t{1} << 20)) {
     out_.erase(out_.begin(), out_.begin() + static_cast<std::ptrdiff_t>(out_done_));
@@ -84,10 +84,10 @@
   paused_ = paused;
   drained_ = false;
   update();
-  if (!paused) again();  // what was left unused may be usable now
+  if (!paused) redeliver_unconsumed();  // what was left unused may be usable now
 }
 
-void Stream::again() {
+void Stream::redeliver_unconsumed() {
   if (in_end_ == 0) return;
   loop_.defer([this, alive = alive_] {
     if (*alive && !paused_ && in_end_ > 0) present();
@@ -96,32 +96,32 @@
 
 void Stream::present() {
   const auto alive = alive_;
-  const auto used = owner_.received({in_.data(), in_end_});
+  const auto used = owner_.on_received({in_.data(), in_end_});
   if (!*alive) return;
   if (used > 0) {
     std::memmove(in_.data(), in_.data() + used, in_end_ - used);
     in_end_ -= used;
   }
-  if (in_end_ > bounds_.most_in) return fail("more bytes than one message may have");
+  if (in_end_ > limits_.max_unconsumed) return fail("more bytes than one message may have");
   give_back();
 }
 
 void Stream::give_back() {
-  if (!bounds_.gives_back) return;
+  if (!limits_.free_when_empty) return;
   if (in_end_ == 0) {
     in_ = {};
-    room_ = kReadAtFirst;
+    room_ = kInitialReadBytes;
   }
   if (out_.empty()) out_ = {};
 }
 
-void Stream::finish() {
+void Stream::half_close() {
   if (!fd_) return;
   finishing_ = true;
   flush();
 }
 
-bool Stream::quiet() const {
+bool Stream::peer_idle() const {
   std::uint8_t byte = 0;
   return fd_ && ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
          (errno == EAGAIN || errno == EWOULDBLOCK);
@@ -150,8 +150,8 @@
   return n;
 }
 
-void Stream::readable() {
-  if (bounds_.gives_back && in_end_ == 0) return read_through();
+void Stream::on_readable() {
+  if (limits_.free_when_empty && in_end_ == 0) return read_through();
   if (in_.size() < in_end_ + room_) in_.resize(in_end_ + room_);
   const auto n = read_some(in_.data() + in_end_, room_);
   if (n < 0) {
@@ -160,14 +160,14 @@
   }
   if (n == 0) return end();
   drained_ = static_cast<std::size_t>(n) < room_;
-  if (!drained_) room_ = std::min(2 * room_, bounds_.read_at_once);
+  if (!drained_) room_ = std::min(2 * room_, limits_.max_read);
   in_end_ += static_cast<std::size_t>(n);
   present();
 }
 
 // Only what the owner leaves unused takes room of the stream's own.
 void Stream::read_through() {
-  const auto room = loop_.scratch().first(std::min(loop_.scratch().size(), bounds_.read_at_once));
+  const auto room = loop_.scratch().first(std::min(loop_.scratch().size(), limits_.max_read));
   const auto n = read_some(room.data(), room.size());
   if (n < 0) {
     if (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR) return;
@@ -177,42 +177,42 @@
   const auto bytes = room.first(static_cast<std::size_t>(n));
   drained_ = bytes.size() < room.size();
   const auto alive = alive_;
-  const auto used = owner_.received(bytes);
+  const auto used = owner_.on_received(bytes);
   if (!*alive || used == bytes.size()) return;
   const auto left = bytes.subspan(used);
   in_.assign(left.begin(), left.end());
   in_end_ = left.size();
-  if (in_end_ > bounds_.most_in) fail("more bytes than one message may have");
+  if (in_end_ > limits_.max_unconsumed) fail("more bytes than one message may have");
 }
 
-void Stream::writable() {
+void Stream::on_writable() {
   if (connecting_) {
     const int error = socket_error(fd_.get());
     if (error != 0) return fail(std::strerror(error));
     connecting_ = false;
     const auto alive = alive_;
-    owner_.connected();
+    owner_.on_connected();
     if (!*alive) return;
     return flush();
   }
   const auto before = written_;
   flush();
-  if (written_ != before) owner_.sent();
+  if (written_ != before) owner_.on_written();
 }
 
-void Stream::broken() {
+void Stream::on_hangup() {
   const int error = socket_error(fd_.get());
   fail(error != 0 ? std::strerror(error) : "hung up");
 }
 
-Listener::Listener(Loop& loop, Fd fd, Accepted accepted)
+Listener::Listener(Loop& loop, Fd fd, AcceptCallback accepted)
     : loop_(loop), fd_(std::move(fd)), accepted_(std::move(accepted)) {
   loop_.watch(fd_.get(), *this);
 }
 
 Listener::~Listener() { loop_.unwatch(fd_.get()); }
 
-void Listener::readable() {
+void Listener::on_readable() {
   for (int i = 0; i < kAtOnce; ++i) {
     Fd fd = accept_from(fd_.get());
     if (!fd) return;
--- a/src/nvme/host.cpp
+++ b/src/nvme/host.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 // One queue: its connection and the commands out on it.
-class HostQueue final : public StreamOwner {
+class HostQueue final : public StreamHandler {
  public:
   HostQueue(Loop& loop, Host& host, std::uint16_t id, std::uint16_t depth)
       : loop_(loop),
@@ -35,7 +35,7 @@
       return;
     }
     stream_ = std::make_unique<Stream>(loop, std::move(fd), *this, true);
-    if (host.options_.mark_arrivals) stream_->mark_arrivals();
+    if (host.options_.mark_arrivals) stream_->enable_receive_timestamps();
   }
 
   bool up() const { return up_; }
@@ -63,9 +63,9 @@
     sqe.sgl_length = static_cast<std::uint32_t>(length > 0 ? length : in);
     CapsuleCmd c{{}, sqe};
     c.header.type = static_cast<std::uint8_t>(PduType::kCapsuleCmd);
-    s.starts_at = stream_ ? stream_->queued() : 0;
+    s.starts_at = stream_ ? stream_->total_queued() : 0;
     if (!stream_) return;
-    append_pdu(stream_->out(), bytes_of(c), inside ? View(*s.out) : View{}, digests_);
+    append_pdu(stream_->write_buffer(), bytes_of(c), inside ? View(*s.out) : View{}, digests_);
     stream_->flush();
   }
 
@@ -82,7 +82,7 @@
 
   // Completes all that is out without arrival.
   void drop_all() {
-    const std::uint64_t written = stream_ ? stream_->written() : 0;
+    const std::uint64_t written = stream_ ? stream_->total_written() : 0;
     if (stream_) stream_->close();
     for (std::size_t i = 0; i < slots_.size(); ++i) {
       Slot& s = slots_[i];
@@ -96,7 +96,7 @@
     down_ = true;
   }
 
-  void connected() override {
+  void on_connected() override {
     InitConnection ic;
     ic.header.type = static_cast<std::uint8_t>(PduType::kIcReq);
     ic.digests = static_cast<std::uint8_t>((host_.options_.digests.header ? 1 : 0) |
@@ -106,10 +106,10 @@
     stream_->send(out);
   }
 
-  std::size_t received(View bytes) override {
+  std::size_t on_received(View bytes) override {
     std::size_t done = 0;
     // What was left unread may have come with what was read before it.
-    if (!std::exchange(behind_, !stream_->drained())) since_ = loop_.earliest_arrival();
+    if (!std::exchange(behind_, !stream_->receive_buffer_drained())) since_ = loop_.earliest_arrival();
     const auto alive = host_.alive_;
     while (true) {
       std::size_t used = 0;
@@ -125,10 +125,10 @@
     }
   }
 
-  void sent() override {
+  void on_written() override {
     if (stream_->unsent() == 0 && host_.ready_) host_.owner_.progressed();
   }
-  void lost(const std::string& reason) override { host_.queue_lost(reason); }
+  void on_closed(const std::string& reason) override { host_.queue_lost(reason); }
 
  private:
   struct Slot {
@@ -147,7 +147,7 @@
   };
 
   void terminate(const FatalError& error, View pdu) {
-    append_term(stream_->out(), End::kHost, error, pdu);
+    append_term(stream_->write_buffer(), End::kHost, error, pdu);
     stream_->flush();
     host_.queue_lost(error.text);
   }
@@ -224,7 +224,7 @@
         id_ != 0 && !s.withdrawn && (s.in_done < s.in_most || (s.out && s.given < s.out->size()));
     if (s.broken || (lacks && c.status().ok())) c.cqe.status = status::kDataTransfer.field();
     c.data = std::move(s.in);
-    c.at = host_.options_.mark_arrivals ? stream_->arrived_at() : loop_.now();
+    c.at = host_.options_.mark_arrivals ? stream_->last_arrival_time() : loop_.now();
     c.since = std::min(c.at, since_);
     const auto token = s.token;
     const auto next = static_cast<std::uint16_t>((s.generation + 1) % generations_);
@@ -275,7 +275,7 @@
       d.ttag = r.ttag;
       d.offset = r.offset + done;
       d.length = n;
-      append_pdu(stream_->out(), bytes_of(d), View(*s->out).subspan(d.offset, n), digests_);
+      append_pdu(stream_->write_buffer(), bytes_of(d), View(*s->out).subspan(d.offset, n), digests_);
       done += n;
     }
     stream_->flush();
@@ -301,7 +301,7 @@
 
 Host::Host(Loop& loop, HostOptions options, HostOwner& owner)
     : loop_(loop), options_(std::move(options)), owner_(owner) {
-  timeout_ = loop_.at(loop_.now() + options_.connect_timeout, [this] { queue_lost("not up in time"); });
+  timeout_ = loop_.run_at(loop_.now() + options_.connect_timeout, [this] { queue_lost("not up in time"); });
   admin_ = std::make_unique<HostQueue>(loop_, *this, 0, kAdminDepth);
 }
 
@@ -428,7 +428,8 @@
   step_ = Step::kDone;
   ready_ = true;
   loop_.cancel(timeout_);
-  if (options_.keep_alive > 0) beat_ = loop_.at(loop_.now() + options_.keep_alive / 3, [this] { beat(); });
+  if (options_.keep_alive > 0)
+    beat_ = loop_.run_at(loop_.now() + options_.keep_alive / 3, [this] { beat(); });
   owner_.ready();
 }
 
@@ -439,7 +440,7 @@
   Sqe c;
   c.opcode = opcode::kKeepAlive;
   submit_admin(kBeat, c, nullptr, 0);
-  beat_ = loop_.at(loop_.now() + options_.keep_alive, [this] { beat(); });
+  beat_ = loop_.run_at(loop_.now() + options_.keep_alive, [this] { beat(); });
 }
 
 }  // namespace heronworks::nvme
--- a/src/nvme/host.h
+++ b/src/nvme/host.h
@@ -18,7 +18,7 @@
   Digests digests;
   double connect_timeout = 1.0;  // s for the whole way up to ready
   double keep_alive = 5.0;       // s; 0: none
-  bool mark_arrivals = false;    // see Stream::arrived_at
+  bool mark_arrivals = false;    // see Stream::last_arrival_time
 };
 
 // How a command ended. Without a completion: `written` tells whether any byte of it was given to the system.
@@ -27,7 +27,7 @@
   bool written = false;
   Cqe cqe;
   Bytes data;
-  double at = 0;     // see Stream::arrived_at; else the time of reading
+  double at = 0;     // see Stream::last_arrival_time; else the time of reading
   double since = 0;  // it did not come before, see Loop::earliest_arrival
   Status status() const { return Status::from(cqe.status); }
 };
@@ -98,8 +98,8 @@
   std::uint16_t controller_ = 0xffff;
   std::uint32_t in_capsule_ = 0;  // bytes of data that a capsule of the I/O queue may carry
   std::uint32_t transfer_limit_ = 0;
-  Loop::Timer timeout_ = 0;
-  Loop::Timer beat_ = 0;
+  Loop::TimerId timeout_ = 0;
+  Loop::TimerId beat_ = 0;
   bool beat_out_ = false;
   bool asked_late_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/nvme/target.cpp
+++ b/src/nvme/target.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-class TargetConnection final : public StreamOwner {
+class TargetConnection final : public StreamHandler {
  public:
   TargetConnection(Target& target, ConnectionId id, Fd fd)
       : target_(target),
@@ -24,12 +24,12 @@
         peer_(peer_address(fd.get())),
         framing_(End::kController, kMostData + target.options_.in_capsule + 1024),
         stream_(target.loop_, std::move(fd), *this) {
-    if (target.options_.arrival == Arrival::kMarked) stream_.mark_arrivals();
-    watchdog_ = target.loop_.at(target.loop_.now() + target.options_.bring_up_time, [this] { watch(); });
+    if (target.options_.arrival == Arrival::kMarked) stream_.enable_receive_timestamps();
+    watchdog_ = target.loop_.run_at(target.loop_.now() + target.options_.bring_up_time, [this] { watch(); });
   }
   ~TargetConnection() override { target_.loop_.cancel(watchdog_); }
 
-  std::size_t received(View bytes) override {
+  std::size_t on_received(View bytes) override {
     std::size_t done = 0;
     heard_at_ = target_.loop_.now();
     // What waited unread is as old as when it began to wait.
@@ -51,13 +51,13 @@
       if (!take(*pdu)) break;
       done += used;
     }
-    backlog_since_ = waiting_ || !stream_.drained() ? came_at_ : -1;
+    backlog_since_ = waiting_ || !stream_.receive_buffer_drained() ? came_at_ : -1;
     return done;
   }
 
-  void sent() override { maybe_resume(); }
+  void on_written() override { maybe_resume(); }
 
-  void lost(const std::string&) override { end(); }
+  void on_closed(const std::string&) override { end(); }
 
   void complete(std::uint16_t cid, Status status, std::uint64_t result, View data) {
     const auto found = out_.find(cid);
@@ -72,7 +72,7 @@
       d.header.flags = kLastPdu;
       d.cid = cid;
       d.length = static_cast<std::uint32_t>(data.size());
-      append_pdu(stream_.out(), bytes_of(d), data, digests_);
+      append_pdu(stream_.write_buffer(), bytes_of(d), data, digests_);
     }
     CapsuleResp r;
     r.header.type = static_cast<std::uint8_t>(PduType::kCapsuleResp);
@@ -81,7 +81,7 @@
     r.cqe.sq_head = ++head_;
     r.cqe.cid = cid;
     r.cqe.status = status.field();
-    append_pdu(stream_.out(), bytes_of(r), {}, digests_);
+    append_pdu(stream_.write_buffer(), bytes_of(r), {}, digests_);
     stream_.flush();
     ask_for_more();
     maybe_resume();
@@ -128,7 +128,7 @@
   double arrival() const {
     switch (target_.options_.arrival) {
       case Arrival::kMarked:
-        return stream_.arrived_at();
+        return stream_.last_arrival_time();
       case Arrival::kEarliest:
         return target_.loop_.earliest_arrival();
       default:
@@ -153,11 +153,11 @@
     const double allowed = admitted_ ? keep_alive_ : target_.options_.bring_up_time;
     if (admitted_ && keep_alive_ <= 0) return;
     if (!waiting_ && now - heard_at_ >= allowed) return end();
-    watchdog_ = target_.loop_.at(std::max(heard_at_ + allowed, now + 0.1), [this] { watch(); });
+    watchdog_ = target_.loop_.run_at(std::max(heard_at_ + allowed, now + 0.1), [this] { watch(); });
   }
 
   void terminate(const FatalError& error, View pdu) {
-    append_term(stream_.out(), End::kController, error, pdu);
+    append_term(stream_.write_buffer(), End::kController, error, pdu);
     stream_.flush();
     end();
   }
@@ -179,7 +179,7 @@
       answer.header.type = static_cast<std::uint8_t>(PduType::kIcResp);
       answer.digests = static_cast<std::uint8_t>(ic.digests & 3);
       answer.most = kMostData;
-      append_pdu(stream_.out(), bytes_of(answer), {}, {});
+      append_pdu(stream_.write_buffer(), bytes_of(answer), {}, {});
       stream_.flush();
       framing_.set_digests(digests_);
       up_ = true;
@@ -208,7 +208,7 @@
       r.cqe.cid = c.cid;
       r.cqe.sq_head = ++head_;
       r.cqe.status = status::kIdConflict.field();
-      append_pdu(stream_.out(), bytes_of(r), {}, digests_);
+      append_pdu(stream_.write_buffer(), bytes_of(r), {}, digests_);
       stream_.flush();
       return true;
     }
@@ -274,7 +274,7 @@
       r.cid = cid;
       r.ttag = cid;
       r.length = o.want;
-      append_pdu(stream_.out(), bytes_of(r), {}, digests_);
+      append_pdu(stream_.write_buffer(), bytes_of(r), {}, digests_);
       stream_.flush();
     }
   }
@@ -373,7 +373,7 @@
     admitted_ = true;
     target_.loop_.cancel(watchdog_);
     if (keep_alive_ > 0) {
-      watchdog_ = target_.loop_.at(target_.loop_.now() + keep_alive_, [this] { watch(); });
+      watchdog_ = target_.loop_.run_at(target_.loop_.now() + keep_alive_, [this] { watch(); });
     }
     target_.backend_.admitted(id_, get_text(d.host), admin_, peer_);
     complete(cid, status::kOk, controller_, {});
@@ -456,7 +456,7 @@
   double heard_at_ = target_.loop_.now();
   double came_at_ = 0;         // of what is being taken
   double backlog_since_ = -1;  // below 0: nothing waits unread
-  Loop::Timer watchdog_ = 0;
+  Loop::TimerId watchdog_ = 0;
   std::uint16_t controller_ = 0;
   std::uint32_t size_ = 1;
   std::uint16_t head_ = 0;
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -10,12 +10,15 @@
 namespace {
 
 // The body goes on for as long as the watch does; each line is bounded instead.
-constexpr http::Bounds kWatchBounds{8192, std::numeric_limits<std::size_t>::max(), 64};
+constexpr http::MessageLimits kWatchBounds{8192, std::numeric_limits<std::size_t>::max(), 64};
 
 }  // namespace
 
 Discovery::Discovery(Loop& loop, Options options, DiscoveryOwner& owner)
-    : loop_(loop), options_(std::move(options)), owner_(owner), reader_(http::Kind::kAnswer, kWatchBounds) {}
+    : loop_(loop),
+      options_(std::move(options)),
+      owner_(owner),
+      reader_(http::MessageKind::kResponse, kWatchBounds) {}
 
 Discovery::~Discovery() { stop(); }
 
@@ -32,31 +35,36 @@
 
 void Discovery::watch() {
   stop();
-  reader_ = http::Reader(http::Kind::kAnswer, kWatchBounds);
+  reader_ = http::Reader(http::MessageKind::kResponse, kWatchBounds);
   line_.clear();
   partial_.reset();
   answered_ = false;
   Fd fd = connect_to(options_.address);
   if (!fd) {
     const std::string reason = std::strerror(errno);
-    timer_ = loop_.at(loop_.now(), [this, reason] { failed(reason); });  // not in the middle of the asking
+    timer_ =
+        loop_.run_at(loop_.now(), [this, reason] { failed(reason); });  // not in the middle of the asking
     return;
   }
-  stream_ = std::make_unique<Stream>(loop_, std::move(fd), *this, true, Stream::Bounds{8192, 65536, true});
+  stream_ =
+      std::make_unique<Stream>(loop_, std::move(fd), *this, true, Stream::BufferLimits{8192, 65536, true});
   expect(options_.call_timeout, "no answer in time");
 }
 
-void Discovery::connected() {
+void Discovery::on_connected() {
   std::vector<std::uint8_t> bytes;
   std::string target = "/v1/servers?follow=1";
   if (version_ >= 0) target += "&since=" + std::to_string(version_);
-  http::Writer(bytes).request("GET", target).field("Host", options_.address.text()).end();
+  http::Writer(bytes)
+      .request_line("GET", target)
+      .field("Host", options_.address.to_string())
+      .end_without_body();
   stream_->send(bytes);
 }
 
 void Discovery::expect(double within, const char* what) {
   loop_.cancel(timer_);
-  timer_ = loop_.at(loop_.now() + within, [this, what] { failed(what); });
+  timer_ = loop_.run_at(loop_.now() + within, [this, what] { failed(what); });
 }
 
 void Discovery::failed(const std::string& reason) {
@@ -69,9 +77,10 @@
                                       : reason + ", after " + std::to_string(unread) + " bytes of a line");
 }
 
-std::size_t Discovery::received(std::span<const std::uint8_t> bytes) {
+std::size_t Discovery::on_received(std::span<const std::uint8_t> bytes) {
   const auto used = reader_.put(bytes);
-  if (reader_.fault() != http::Fault::kNone) return failed("answer: " + reader_.reason()), bytes.size();
+  if (reader_.error() != http::ParseError::kNone)
+    return failed("answer: " + reader_.error_message()), bytes.size();
   if (!reader_.head_done()) return used;
   if (reader_.message().status != 200) {
     failed("answer with status " + std::to_string(reader_.message().status));
--- a/src/platform/discovery.h
+++ b/src/platform/discovery.h
@@ -17,7 +17,7 @@
   virtual void discovery_failed(const std::string& reason) = 0;  // the call or the watch is over
 };
 
-class Discovery final : public StreamOwner {
+class Discovery final : public StreamHandler {
  public:
   struct Options {
     Address address;
@@ -40,9 +40,9 @@
   void stop();
 
  private:
-  void connected() override;
-  std::size_t received(std::span<const std::uint8_t> bytes) override;
-  void lost(const std::string& reason) override { failed(reason); }
+  void on_connected() override;
+  std::size_t on_received(std::span<const std::uint8_t> bytes) override;
+  void on_closed(const std::string& reason) override { failed(reason); }
   void lines(const std::string& bytes);
   void line(const std::string& text);
   void take_entries();
@@ -62,7 +62,7 @@
   std::string line_;       // part of one, up to kMostLine
   PartialNews partial_;    // of it
   bool answered_ = false;  // the present call
-  Loop::Timer timer_ = 0;
+  Loop::TimerId timer_ = 0;
 };
 
 }  // namespace heronworks::platform
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -8,23 +8,23 @@
 namespace heronworks::platform {
 namespace {
 
-constexpr http::Bounds kRequestBounds{8192, LongBodies::kLongest, 64};
+constexpr http::MessageLimits kRequestBounds{8192, LongBodies::kLongest, 64};
 // One whole short request behind the open one; a client that sends more than that ahead is cut off.
-constexpr Stream::Bounds kStreamBounds{LongBodies::kShort + 2 * 8192, 65536, true};
+constexpr Stream::BufferLimits kStreamBounds{LongBodies::kShort + 2 * 8192, 65536, true};
 
 }  // namespace
 
-struct Front::Client final : StreamOwner {
+struct Front::Client final : StreamHandler {
   enum class State { kReading, kOpen, kDropping };
 
   Client(Front& f, ClientId i, Fd fd)
       : front(f),
         id(i),
         stream(f.loop_, std::move(fd), *this, false, kStreamBounds),
-        reader(http::Kind::kRequest, kRequestBounds),
+        reader(http::MessageKind::kRequest, kRequestBounds),
         since(f.loop_.now()) {}
 
-  std::size_t received(std::span<const std::uint8_t> bytes) override {
+  std::size_t on_received(std::span<const std::uint8_t> bytes) override {
     if (state == State::kDropping) {
       if (ended_idle && dropped == 0) ++front.counts_.crossed;
       dropped += bytes.size();
@@ -40,16 +40,16 @@
       const auto n = reader.put(bytes.subspan(used));
       used += n;
       if (reader.started() && began == 0) began = front.loop_.now();
-      if (reader.fault() != http::Fault::kNone) {
-        using http::Fault;
+      if (reader.error() != http::ParseError::kNone) {
+        using http::ParseError;
         front.refuse(*this,
-                     reader.fault() == Fault::kMalformed      ? 400
-                     : reader.fault() == Fault::kBodyTooLarge ? 413
-                                                              : 431,
-                     reader.reason());
+                     reader.error() == ParseError::kMalformed      ? 400
+                     : reader.error() == ParseError::kBodyTooLarge ? 413
+                                                                   : 431,
+                     reader.error_message());
         return bytes.size();
       }
-      if (!holds(reader.body_size())) {
+      if (!holds(reader.buffered_body_bytes())) {
         front.refuse(*this, 503, "no room for one more long body");
         return bytes.size();
       }
@@ -57,7 +57,7 @@
         expectation();
         break;
       }
-      http::Message request = reader.take();
+      http::Message request = reader.take_message();
       state = State::kOpen;
       keep = request.keep_alive;
       asked = true;
@@ -79,18 +79,18 @@
   // RFC 9110, 10.1.1: a client that waits for it is told to send its body.
   void expectation() {
     if (!reader.head_done() || told_to_go_on) return;
-    const std::string* e = reader.message().find("Expect");
-    if (e == nullptr || !http::same_name(*e, "100-continue")) return;
+    const std::string* e = reader.message().find_field("Expect");
+    if (e == nullptr || !http::equals_ignore_case(*e, "100-continue")) return;
     told_to_go_on = true;
     static constexpr std::string_view kGoOn = "HTTP/1.1 100 Continue\r\n\r\n";
     stream.send({reinterpret_cast<const std::uint8_t*>(kGoOn.data()), kGoOn.size()});
   }
 
-  void sent() override {
-    if (stream.unsent() == 0) stream.again();
+  void on_written() override {
+    if (stream.unsent() == 0) stream.redeliver_unconsumed();
   }
 
-  void lost(const std::string&) override {
+  void on_closed(const std::string&) override {
     const bool open = state == State::kOpen;
     Front& f = front;
     const ClientId self = id;
@@ -102,7 +102,7 @@
     state = State::kDropping;
     holds(0);
     since = front.loop_.now();
-    stream.finish();
+    stream.half_close();
   }
 
   Front& front;
@@ -126,7 +126,7 @@
     : loop_(loop), descriptors_(descriptors), bodies_(bodies), owner_(owner) {
   listener_ =
       std::make_unique<Listener>(loop_, std::move(listener), [this](Fd fd) { accepted(std::move(fd)); });
-  sweep_ = loop_.at(loop_.now() + kSweep, [this] { sweep(); });
+  sweep_ = loop_.run_at(loop_.now() + kSweep, [this] { sweep(); });
 }
 
 Front::~Front() {
@@ -180,10 +180,10 @@
   if (at == clients_.end() || at->second->state != Client::State::kOpen) return;
   Client& c = *at->second;
   // While a drain ends, what waits behind it was taken, and nobody else answers it.
-  const bool more = c.stream.unused() > 0 || !c.stream.quiet();
+  const bool more = c.stream.unconsumed() > 0 || !c.stream.peer_idle();
   const bool last = !c.keep || (ending_ && (!more || loop_.now() >= end_at_));
-  http::Writer writer(c.stream.out());
-  writer.answer(a.status);
+  http::Writer writer(c.stream.write_buffer());
+  writer.status_line(a.status);
   if (!a.retry_after.empty()) writer.field("Retry-After", a.retry_after);
   if (last) writer.field("Connection", "close");
   writer.body(a.body);
@@ -192,14 +192,14 @@
   c.state = Client::State::kReading;
   c.holds(0);
   c.since = loop_.now();
-  c.stream.again();
+  c.stream.redeliver_unconsumed();
 }
 
 // What can't be read is owed an error, and nothing that follows it on the connection means anything.
 void Front::refuse(Client& c, int status, const std::string& reason) {
   ++counts_.unreadable;
   owner_.unreadable(c.id, status, reason);
-  http::Writer(c.stream.out()).answer(status).field("Connection", "close").body("");
+  http::Writer(c.stream.write_buffer()).status_line(status).field("Connection", "close").body("");
   c.stream.flush();
   c.drop_the_rest();
 }
@@ -242,15 +242,15 @@
       end_idle(c);
     }
   }
-  sweep_ = loop_.at(loop_.now() + kSweep, [this] { sweep(); });
+  sweep_ = loop_.run_at(loop_.now() + kSweep, [this] { sweep(); });
 }
 
 void Front::drain(double accept_for, double serve_for, double end_after, std::function<void()> done) {
   draining_ = true;
   end_at_ = loop_.now() + end_after;
   drained_ = std::move(done);
-  accept_end_ = loop_.at(loop_.now() + accept_for, [this] { end_of_accepting(); });
-  drain_ = loop_.at(loop_.now() + std::max(accept_for, serve_for), [this] { end_of_serving(); });
+  accept_end_ = loop_.run_at(loop_.now() + accept_for, [this] { end_of_accepting(); });
+  drain_ = loop_.run_at(loop_.now() + std::max(accept_for, serve_for), [this] { end_of_serving(); });
 }
 
 void Front::end_of_accepting() {
@@ -274,14 +274,14 @@
   for (auto& [id, c] : clients_) {
     if (c->state != Client::State::kReading || c->stream.unsent() > 0) continue;
     const bool idle =
-        !c->reader.started() && c->stream.unused() == 0 && (c->asked || c->since <= now - kLate);
-    if (now >= end_at_ || (idle && c->stream.quiet())) end_idle(*c);
+        !c->reader.started() && c->stream.unconsumed() == 0 && (c->asked || c->since <= now - kLate);
+    if (now >= end_at_ || (idle && c->stream.peer_idle())) end_idle(*c);
   }
   if (clients_.empty()) {
     drain_ = 0;
     return std::exchange(drained_, nullptr)();
   }
-  drain_ = loop_.at(loop_.now() + kDrainLook, [this] { look_at_drain(); });
+  drain_ = loop_.run_at(loop_.now() + kDrainLook, [this] { look_at_drain(); });
 }
 
 }  // namespace heronworks::platform
--- a/src/platform/front.h
+++ b/src/platform/front.h
@@ -97,9 +97,9 @@
   bool draining_ = false;
   bool ending_ = false;  // answers are each connection's last
   std::function<void()> drained_;
-  Loop::Timer sweep_ = 0;
-  Loop::Timer drain_ = 0;
-  Loop::Timer accept_end_ = 0;
+  Loop::TimerId sweep_ = 0;
+  Loop::TimerId drain_ = 0;
+  Loop::TimerId accept_end_ = 0;
   double end_at_ = 0;  // of a drain, whatever still comes
   FrontCounts counts_;
 };
--- a/src/platform/node_pool.cpp
+++ b/src/platform/node_pool.cpp
@@ -8,20 +8,20 @@
 namespace heronworks::platform {
 namespace {
 
-constexpr http::Bounds kAnswerBounds{8192, LongBodies::kLongest, 64};
-constexpr Stream::Bounds kStreamBounds{65536 + 16384, 65536, true};
+constexpr http::MessageLimits kAnswerBounds{8192, LongBodies::kLongest, 64};
+constexpr Stream::BufferLimits kStreamBounds{65536 + 16384, 65536, true};
 
 // What an answer means (the platform's table of outcomes).
 Outcome outcome_of(const http::Message& m) {
   if (m.status == 200) return Outcome::kHonoured;
-  const std::string* rejected = m.find("X-Rejected");
+  const std::string* rejected = m.find_field("X-Rejected");
   if ((m.status == 503 || m.status == 504) && rejected && *rejected == "1") return Outcome::kFull;
   return Outcome::kError;
 }
 
 }  // namespace
 
-struct NodePool::Link final : StreamOwner {
+struct NodePool::Link final : StreamHandler {
   enum class State { kConnecting, kSpare, kBusy, kIdle };  // kSpare: connecting, for nobody any more
 
   Link(NodePool& p, int n, std::uint64_t i, Fd fd)
@@ -29,30 +29,30 @@
         node(n),
         id(i),
         stream(p.loop_, std::move(fd), *this, true, kStreamBounds),
-        reader(http::Kind::kAnswer, kAnswerBounds) {}
+        reader(http::MessageKind::kResponse, kAnswerBounds) {}
 
   void begin(PoolDispatch d) {
     dispatch = std::move(d);
-    reader = http::Reader(http::Kind::kAnswer, kAnswerBounds);
-    timer = pool.loop_.at(dispatch.until, [this] { end(Outcome::kTimedOut); });
+    reader = http::Reader(http::MessageKind::kResponse, kAnswerBounds);
+    timer = pool.loop_.run_at(dispatch.until, [this] { end(Outcome::kTimedOut); });
     ++pool.nodes_[static_cast<std::size_t>(node)].out;
   }
 
   void write() {
     state = State::kBusy;
-    first_byte = stream.queued();
+    first_byte = stream.total_queued();
     // Danger: a connection that comes up late has used up time, and the node would work for a client that
     // has given up. So the time left is told as of the writing, never rounded up.
     const double left = std::max(1.0, std::floor(1000 * (dispatch.until - pool.loop_.now())));
     const std::string field = "X-Budget-Ms: " + std::to_string(static_cast<long>(left)) + "\r\n";
     dispatch.bytes.insert(dispatch.bytes.begin() + static_cast<std::ptrdiff_t>(dispatch.time_at),
                           field.begin(), field.end());
-    last_byte = stream.queued() + dispatch.bytes.size();
+    last_byte = stream.total_queued() + dispatch.bytes.size();
     stream.send(dispatch.bytes);
     dispatch.bytes = {};
   }
 
-  void connected() override {
+  void on_connected() override {
     pool.loop_.cancel(std::exchange(connect_timer, 0));
     if (state == State::kSpare) return rest(kRest);  // nothing was asked on it: nothing comes late
     if (pool.loop_.now() >= dispatch.until) return end(Outcome::kTimedOut);
@@ -65,14 +65,14 @@
     pool.nodes_[static_cast<std::size_t>(node)].idle.push_back(id);
   }
 
-  std::size_t received(std::span<const std::uint8_t> bytes) override {
+  std::size_t on_received(std::span<const std::uint8_t> bytes) override {
     if (state != State::kBusy) {  // nobody asked
       ++pool.counts_.surplus;
       pool.drop(*this);
       return bytes.size();
     }
     const auto used = reader.put(bytes);
-    if (reader.fault() != http::Fault::kNone || !holds(reader.body_size())) {
+    if (reader.error() != http::ParseError::kNone || !holds(reader.buffered_body_bytes())) {
       ++pool.counts_.spoilt;
       end(Outcome::kError);
       return bytes.size();
@@ -90,7 +90,7 @@
 
   // The answer is whole; `more`: what came with it is not its own.
   void answered(bool more) {
-    http::Message answer = reader.take();
+    http::Message answer = reader.take_message();
     const Outcome outcome = outcome_of(answer);
     if (more) ++pool.counts_.surplus;
     // An answer ahead of the transaction's last byte is of no use to what comes next on the connection.
@@ -98,24 +98,24 @@
     end(outcome, std::move(answer), keep);
   }
 
-  void lost(const std::string&) override {
+  void on_closed(const std::string&) override {
     if (state == State::kIdle || state == State::kSpare) return pool.drop(*this);
     end(unwritten() ? Outcome::kNoConnection : Outcome::kReset);
   }
 
   // RFC 9112, 6.3: an answer without a length is ended by its connection's orderly end, and by no reset.
-  void ended() override {
-    if (state == State::kBusy && reader.put_end()) return answered(false);
-    lost("closed by the peer");
+  void on_peer_closed() override {
+    if (state == State::kBusy && reader.put_eof()) return answered(false);
+    on_closed("closed by the peer");
   }
 
   // Whether the node cannot have had the last byte.
   bool unwritten() const {
-    return state == State::kConnecting || (state == State::kBusy && stream.written() < last_byte);
+    return state == State::kConnecting || (state == State::kBusy && stream.total_written() < last_byte);
   }
   // Whether it cannot have had the first one either.
   bool unbegun() const {
-    return state == State::kConnecting || (state == State::kBusy && stream.written() <= first_byte);
+    return state == State::kConnecting || (state == State::kBusy && stream.total_written() <= first_byte);
   }
 
   // The connection is closed before the owner hears, but after a good answer that leaves it usable.
@@ -149,14 +149,14 @@
   std::uint64_t last_byte = 0;   // and with it
   std::size_t held = 0;          // bytes of the answer's body that were read
   double idle_since = 0;
-  Loop::Timer timer = 0;
-  Loop::Timer connect_timer = 0;
+  Loop::TimerId timer = 0;
+  Loop::TimerId connect_timer = 0;
 };
 
 NodePool::NodePool(Loop& loop, Options options, Descriptors& descriptors, LongBodies& bodies,
                    NodePoolOwner& owner)
     : loop_(loop), options_(options), descriptors_(descriptors), bodies_(bodies), owner_(owner) {
-  sweep_ = loop_.at(loop_.now() + kSweep, [this] { sweep(); });
+  sweep_ = loop_.run_at(loop_.now() + kSweep, [this] { sweep(); });
 }
 
 NodePool::~NodePool() {
@@ -183,7 +183,7 @@
   for (std::size_t i = n.idle.size(); i-- > 0;) {
     Link& link = *n.links.at(n.idle[i]);
     if (loop_.now() < link.idle_since + kRest) continue;
-    if (!link.stream.quiet()) {  // closed at the other end, or with bytes that nobody asked for
+    if (!link.stream.peer_idle()) {  // closed at the other end, or with bytes that nobody asked for
       ++counts_.stale;
       drop(link);
       continue;
@@ -214,7 +214,7 @@
   Link& link = *made;
   n.links.emplace(id, std::move(made));
   link.begin(std::move(dispatch));
-  link.connect_timer = loop_.at(loop_.now() + options_.connect_timeout, [this, &link] {
+  link.connect_timer = loop_.run_at(loop_.now() + options_.connect_timeout, [this, &link] {
     if (link.state == Link::State::kSpare) drop(link);
     else link.end(Outcome::kNoConnection);
   });
@@ -305,7 +305,7 @@
       drop(*n.links.at(n.idle.front()));
     }
   }
-  sweep_ = loop_.at(loop_.now() + kSweep, [this] { sweep(); });
+  sweep_ = loop_.run_at(loop_.now() + kSweep, [this] { sweep(); });
 }
 
 }  // namespace heronworks::platform
--- a/src/platform/node_pool.h
+++ b/src/platform/node_pool.h
@@ -90,7 +90,7 @@
   std::deque<Node> nodes_;                     // by the module's index
   std::vector<std::unique_ptr<Link>> closed_;  // freed later in the turn
   std::uint64_t last_link_ = 0;
-  Loop::Timer sweep_ = 0;
+  Loop::TimerId sweep_ = 0;
   PoolCounts counts_;
 };
 
--- a/src/platform/scheduler.cpp
+++ b/src/platform/scheduler.cpp
@@ -66,7 +66,7 @@
       volumes_(volume_rest(config_.settings())) {
   Fd listener = listen_on(config_.listen, 1024);
   if (!listener)
-    throw std::runtime_error("cannot listen on " + config_.listen.text() + ": " + std::strerror(errno));
+    throw std::runtime_error("cannot listen on " + config_.listen.to_string() + ": " + std::strerror(errno));
   NodePool::Options pool;
   if (config_.connect_timeout > 0) pool.connect_timeout = config_.connect_timeout;
   if (config_.idle_close > 0) pool.idle = config_.idle_close / 2;
@@ -81,7 +81,7 @@
     discovery_->knows(config_.known.version);
   }
   front_ = std::make_unique<Front>(loop_, std::move(listener), descriptors_, requests_, *this);
-  report_ = loop_.at(loop_.now() + kReportEvery, [this] { report(); });
+  report_ = loop_.run_at(loop_.now() + kReportEvery, [this] { report(); });
   beat_ = std::make_unique<Beat>(loop_, log_);
 }
 
@@ -116,7 +116,8 @@
   for (const auto& [field, value] : before.items()) {
     if (!after.contains(field)) log_.warn(loop_.now(), "reload.not_taken", {{"field", field}});
   }
-  log_.info(loop_.now(), "reload", {{"discovery", c.discovery.text()}, {"before", config_.discovery.text()}});
+  log_.info(loop_.now(), "reload",
+            {{"discovery", c.discovery.to_string()}, {"before", config_.discovery.to_string()}});
   if (c.discovery == config_.discovery) return;
   config_.discovery = c.discovery;
   discovery_->move_to(c.discovery);
@@ -207,12 +208,12 @@
   d.until = try_for > 0 ? std::min(now() + try_for, s.cut_off_at) : s.cut_off_at;
   s.node = node;
   http::Writer writer(d.bytes);
-  writer.request(s.request.method, s.request.target).field("Host", "node").field("X-Call-Id", s.call);
+  writer.request_line(s.request.method, s.request.target).field("Host", "node").field("X-Call-Id", s.call);
   d.time_at = d.bytes.size();
   for (const char* name : {"X-Call-Class", "Tier", "IO-Info", "Idempotency-Key", "Content-Type"}) {
-    if (const std::string* value = s.request.find(name)) writer.field(name, *value);
+    if (const std::string* value = s.request.find_field(name)) writer.field(name, *value);
   }
-  if (s.request.method == "GET") writer.end();
+  if (s.request.method == "GET") writer.end_without_body();
   else writer.body(s.request.body);
   pool_->send(node, std::move(d));
 }
@@ -236,7 +237,7 @@
 
 void Scheduler::wake_at(double time) {
   loop_.cancel(wake_);
-  wake_ = loop_.at(time, [this] { control_->woken(now()); });
+  wake_ = loop_.run_at(time, [this] { control_->woken(now()); });
 }
 
 // ---- From nodes ----
@@ -250,7 +251,7 @@
   r.elapsed = std::max(now() - d.sent_at, 0.0);
   r.outcome = outcome;
   const auto figure = [&](const char* name) -> std::optional<double> {
-    const std::string* text = a.count(name) == 1 ? a.find(name) : nullptr;
+    const std::string* text = a.count_fields(name) == 1 ? a.find_field(name) : nullptr;
     const auto number = text == nullptr ? std::nullopt : read_number<double>(*text);
     return number && *number >= 0 ? number : std::nullopt;
   };
@@ -356,7 +357,7 @@
   reported_front_ = f;
   reported_pool_ = p;
   reported_cpu_ = cpu;
-  report_ = loop_.at(loop_.now() + kReportEvery, [this] { report(); });
+  report_ = loop_.run_at(loop_.now() + kReportEvery, [this] { report(); });
 }
 
 }  // namespace heronworks::platform
--- a/src/platform/scheduler.h
+++ b/src/platform/scheduler.h
@@ -87,7 +87,7 @@
     http::Message request;  // until it is answered
   };
 
-  double now() const { return loop_.turn_time(); }
+  double now() const { return loop_.iteration_time(); }
   void answer(Slot& s, ClientAnswer answer);
   std::vector<Entry> take_servers(const std::vector<Server>& servers, bool whole);
   void take_news(const ServerNews& news, Scope scope);
@@ -110,9 +110,9 @@
   std::unordered_map<std::string, int> by_call_;  // the same
   NodeNumbers numbers_;                           // by id
   std::map<std::string, int> zones_;              // at most kMostZones; an entry of one more is left out
-  Loop::Timer wake_ = 0;
+  Loop::TimerId wake_ = 0;
   std::unique_ptr<Beat> beat_;
-  Loop::Timer report_ = 0;
+  Loop::TimerId report_ = 0;
   double stop_at_ = 0;  // when all must be answered; 0: not stopping
   Counts counts_;
   Counts reported_;
--- a/src/platform/wanted.cpp
+++ b/src/platform/wanted.cpp
@@ -57,7 +57,9 @@
 }  // namespace
 
 std::variant<Wanted, Refused> read_wanted(const http::Message& m, const Config& c) {
-  const auto once = [&](std::string_view name) { return m.count(name) == 1 ? m.find(name) : nullptr; };
+  const auto once = [&](std::string_view name) {
+    return m.count_fields(name) == 1 ? m.find_field(name) : nullptr;
+  };
   Wanted w;
   const std::string* call = once("X-Call-Id");
   if (call == nullptr || call->empty() || call->size() > 128) return Refused{400, "X-Call-Id"};
@@ -93,8 +95,8 @@
   if (info == nullptr || !read_info(*info, c, w.t)) return Refused{400, "IO-Info"};
 
   const Profile& p = c.settings().profiles[static_cast<std::size_t>(w.t.profile)];
-  const std::string* label = m.find("Idempotency-Key");
-  if (m.count("Idempotency-Key") > 1) return Refused{400, "Idempotency-Key"};
+  const std::string* label = m.find_field("Idempotency-Key");
+  if (m.count_fields("Idempotency-Key") > 1) return Refused{400, "Idempotency-Key"};
   if (p.repeat == Repeat::kLabelled && (label == nullptr || label->empty()))
     return Refused{400, "Idempotency-Key"};
   return w;
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -70,7 +70,7 @@
 }
 
 // In the loop: what the thread has done since.
-void Writer::readable() {
+void Writer::on_readable() {
   char drop[64];
   while (::read(wake_read_.get(), drop, sizeof drop) > 0) {
   }
--- a/src/store/writer.h
+++ b/src/store/writer.h
@@ -30,7 +30,7 @@
   std::size_t group = 4096;  // records of one group at most; 1: a sync for each record
 };
 
-class Writer final : private Pollable {
+class Writer final : private PollHandler {
  public:
   Writer(Loop& loop, std::unique_ptr<Log> log, const WriterOptions& options, WriterOwner& owner);
   // Writes what it holds, unless the log is read-only.
@@ -49,9 +49,9 @@
   static constexpr double kRetry = 0.25;  // s
 
  private:
-  void readable() override;
-  void writable() override {}
-  void broken() override {}
+  void on_readable() override;
+  void on_writable() override {}
+  void on_hangup() override {}
   void work();
 
   Loop& loop_;
--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -30,21 +30,21 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace heronworks::http;
   if (size < 1) return 0;
-  const Kind kind = (data[0] & 1) != 0 ? Kind::kRequest : Kind::kAnswer;
-  const Bounds bounds{256, 64, 8};
+  const MessageKind kind = (data[0] & 1) != 0 ? MessageKind::kRequest : MessageKind::kResponse;
+  const MessageLimits limits{256, 64, 8};
   const std::span<const std::uint8_t> all(data + 1, size - 1);
-  Reader a(kind, bounds);
+  Reader a(kind, limits);
   const auto used = a.put(all);
   if (used > all.size()) __builtin_trap();
-  Reader b(kind, bounds);
+  Reader b(kind, limits);
   std::size_t from = 0;
-  for (std::size_t to = 1; to <= all.size() && !b.done() && b.fault() == Fault::kNone; ++to) {
+  for (std::size_t to = 1; to <= all.size() && !b.done() && b.error() == ParseError::kNone; ++to) {
     from += b.put(all.subspan(from, to - from));
   }
   if (a.done() != b.done() || (a.done() && used != from)) __builtin_trap();
-  if ((a.fault() == Fault::kNone) != (b.fault() == Fault::kNone)) __builtin_trap();
+  if ((a.error() == ParseError::kNone) != (b.error() == ParseError::kNone)) __builtin_trap();
   if (a.done() && a.message().body != b.message().body) __builtin_trap();
-  if (a.message().body.size() > bounds.body) __builtin_trap();
+  if (a.message().body.size() > limits.body_bytes) __builtin_trap();
   return 0;
 }
 #else
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -211,7 +211,7 @@
   }
   CHECK(ends.all.empty());  // nothing is told from inside send
   CHECK(link.waiting() == 20);
-  loop.turn(0);
+  loop.run_once(0);
   CHECK(ends.all.size() == 1);  // the one over the bound
   link.drain();
   CHECK(ends.all == std::vector<Outcome>(21, Outcome::kNoConnection));
@@ -312,9 +312,9 @@
   REQUIRE(r.until([&] { return r.nodes[0]->came.size() == 1; }));
   r.scheduler->drain([] {});
   r.run(0.03);
-  const auto timers = r.loop.timers();
+  const auto timers = r.loop.timer_count();
   r.scheduler.reset();
-  CHECK(r.loop.timers() < timers);
+  CHECK(r.loop.timer_count() < timers);
   r.run(0.05);  // under the sanitizer: what still ran would use what is gone
 }
 
@@ -417,7 +417,7 @@
     return std::exchange(c.answers, {}).at(1).status().ok();
   }));
   CHECK(r.list.asked >= 3);
-  CHECK(r.loop.timers() < 100);  // each node that was ever listed has one
+  CHECK(r.loop.timer_count() < 100);  // each node that was ever listed has one
 }
 
 TEST_CASE("one tenant at full depth leaves room at the door for another") {
@@ -482,14 +482,14 @@
   Rig r;
   r.config.idle_close = 0.05;
   r.start();
-  const auto timers = r.loop.timers();
+  const auto timers = r.loop.timer_count();
   for (std::uint16_t i = 1; i <= 50; ++i) {
     const int asked = r.list.asked;
     r.list.change({{{"127.0.0.1", i}, 0, 0, Listing::kDraining, 0}});
     REQUIRE(r.until([&] { return r.list.asked > asked; }));
     r.run(0.06);
   }
-  CHECK(r.loop.timers() < timers + 25);
+  CHECK(r.loop.timer_count() < timers + 25);
   const int asked = r.list.asked;
   r.list.change(r.all_ready());
   REQUIRE(r.until([&] { return r.list.asked > asked; }));
@@ -509,7 +509,7 @@
   Loop loop(r.clock);
   ScriptClient idle(loop, r.scheduler->address());
   REQUIRE(r.until([&] {
-    loop.turn(0);
+    loop.run_once(0);
     return idle.host->ready();
   }));
   for (std::uint64_t i = 0; i < 100; ++i)
--- a/tests/gateway/orderings_test.cpp
+++ b/tests/gateway/orderings_test.cpp
@@ -43,7 +43,7 @@
   }
   std::size_t came() const { return nodes[0]->came.size() + nodes[1]->came.size(); }
   void settle() {
-    for (int i = 0; i < 6; ++i) loop.turn(0);
+    for (int i = 0; i < 6; ++i) loop.run_once(0);
   }
   void happen(Event e) {
     switch (e) {
@@ -84,7 +84,7 @@
   void pass(double seconds) {
     for (int i = 0; i < 70; ++i) {
       clock.advance(seconds / 70);
-      loop.turn(0);
+      loop.run_once(0);
     }
   }
   void finish(Seen& seen) {
--- a/tests/gateway/peer_test.cpp
+++ b/tests/gateway/peer_test.cpp
@@ -12,15 +12,15 @@
 namespace {
 
 // A socket that speaks bytes.
-class Raw final : public StreamOwner {
+class Raw final : public StreamHandler {
  public:
   Raw(Loop& loop, const Address& at) : stream(loop, connect_to(at), *this, true) {}
-  void connected() override { up = true; }
-  std::size_t received(nvme::View b) override {
+  void on_connected() override { up = true; }
+  std::size_t on_received(nvme::View b) override {
     in.insert(in.end(), b.begin(), b.end());
     return b.size();
   }
-  void lost(const std::string&) override { gone = true; }
+  void on_closed(const std::string&) override { gone = true; }
 
   void init() {
     nvme::InitConnection ic;
@@ -226,9 +226,9 @@
   Loop loop(clock);
   std::uint32_t x = 7;
   const auto next = [&] { return x = x * 1664525 + 1013904223, x >> 8; };
-  struct Mute final : StreamOwner {
-    std::size_t received(nvme::View b) override { return b.size(); }
-    void lost(const std::string&) override {}
+  struct Mute final : StreamHandler {
+    std::size_t on_received(nvme::View b) override { return b.size(); }
+    void on_closed(const std::string&) override {}
   } mute;
   int downs = 0;
   for (int i = 0; i < 100; ++i) {
@@ -251,7 +251,7 @@
     });
     ScriptClient c(loop, listener.address());
     const double end = clock.now() + 10;
-    while (c.reason.empty() && clock.now() < end) loop.turn(0.01);
+    while (c.reason.empty() && clock.now() < end) loop.run_once(0.01);
     if (!c.reason.empty()) ++downs;
     CHECK_FALSE(c.host->ready());
   }
--- a/tests/gateway/rig.h
+++ b/tests/gateway/rig.h
@@ -150,7 +150,8 @@
     list.nodes = listed_set ? std::move(listed) : all_ready();
     const std::string path = scratch("config.toml");
     std::ofstream(path) << "[scheduler]\nlisten = \"127.0.0.1:0\"\n[list]\naddress = \""
-                        << list.target->address().text() << "\"\nsaved = \"" << scratch("list.json") << "\"\n"
+                        << list.target->address().to_string() << "\"\nsaved = \"" << scratch("list.json")
+                        << "\"\n"
                         << R"([space]
 zone_blocks = 64
 zones = 8
@@ -219,12 +220,12 @@
   // Whether it became so within a time that only a hang uses up.
   bool until(const std::function<bool()>& done) {
     const double end = clock.now() + 20;
-    for (int turns = 0; !done() && clock.now() < end && turns < 5000; ++turns) loop.turn(0.01);
+    for (int turns = 0; !done() && clock.now() < end && turns < 5000; ++turns) loop.run_once(0.01);
     return done();
   }
   void run(double seconds) {
     const double end = clock.now() + seconds;
-    while (clock.now() < end) loop.turn(0.005);
+    while (clock.now() < end) loop.run_once(0.005);
   }
 
   C clock;
--- a/tests/http/reader_test.cpp
+++ b/tests/http/reader_test.cpp
@@ -8,23 +8,23 @@
 namespace {
 
 struct Read {
-  Fault fault = Fault::kNone;
+  ParseError fault = ParseError::kNone;
   bool done = false;
   std::size_t used = 0;
   Message message;
 };
 
-Read whole(Kind kind, const std::string& text, Bounds bounds = {}) {
+Read whole(MessageKind kind, const std::string& text, MessageLimits bounds = {}) {
   Reader r(kind, bounds);
   Read out;
   out.used = r.put({reinterpret_cast<const std::uint8_t*>(text.data()), text.size()});
-  out.fault = r.fault();
+  out.fault = r.error();
   out.done = r.done();
   out.message = r.message();
   return out;
 }
 
-Read by_bytes(Kind kind, const std::string& text, Bounds bounds = {}) {
+Read by_bytes(MessageKind kind, const std::string& text, MessageLimits bounds = {}) {
   Reader r(kind, bounds);
   Read out;
   std::string held;
@@ -33,9 +33,9 @@
     const auto n = r.put({reinterpret_cast<const std::uint8_t*>(held.data()), held.size()});
     out.used += n;
     held.erase(0, n);
-    if (r.done() || r.fault() != Fault::kNone) break;
+    if (r.done() || r.error() != ParseError::kNone) break;
   }
-  out.fault = r.fault();
+  out.fault = r.error();
   out.done = r.done();
   out.message = r.message();
   return out;
@@ -69,7 +69,7 @@
       std::string("\0\0\0", 3),
   };
   for (const auto& text : texts) {
-    for (const Kind kind : {Kind::kRequest, Kind::kAnswer}) {
+    for (const MessageKind kind : {MessageKind::kRequest, MessageKind::kResponse}) {
       CAPTURE(text);
       const Read a = whole(kind, text);
       const Read b = by_bytes(kind, text);
@@ -80,48 +80,51 @@
       CHECK(a.message.fields.size() == b.message.fields.size());
     }
   }
-  CHECK(whole(Kind::kRequest, texts[4]).message.body == "abcde");
-  CHECK(whole(Kind::kRequest, texts[1]).message.count("A") == 2);
-  CHECK(*whole(Kind::kRequest, texts[1]).message.find("A") == "b");
-  CHECK(whole(Kind::kAnswer, texts[16]).message.status == 200);
-  CHECK(whole(Kind::kAnswer, texts[18]).fault == Fault::kNone);
-  CHECK(!whole(Kind::kAnswer, texts[18]).done);
+  CHECK(whole(MessageKind::kRequest, texts[4]).message.body == "abcde");
+  CHECK(whole(MessageKind::kRequest, texts[1]).message.count_fields("A") == 2);
+  CHECK(*whole(MessageKind::kRequest, texts[1]).message.find_field("A") == "b");
+  CHECK(whole(MessageKind::kResponse, texts[16]).message.status == 200);
+  CHECK(whole(MessageKind::kResponse, texts[18]).fault == ParseError::kNone);
+  CHECK(!whole(MessageKind::kResponse, texts[18]).done);
 }
 
 TEST_CASE("http: an answer without a length is done at its connection's end, nothing else is") {
-  const auto ends = [](Kind kind, const std::string& text) {
+  const auto ends = [](MessageKind kind, const std::string& text) {
     Reader r(kind, {64, 10, 3});
     r.put({reinterpret_cast<const std::uint8_t*>(text.data()), text.size()});
-    const bool by_end = r.put_end();
-    CHECK(by_end == (r.done() && r.fault() == Fault::kNone));
+    const bool by_end = r.put_eof();
+    CHECK(by_end == (r.done() && r.error() == ParseError::kNone));
     return by_end ? r.message().body : "-";
   };
-  CHECK(ends(Kind::kAnswer, "HTTP/1.1 200 OK\r\n\r\nabc") == "abc");
-  CHECK(ends(Kind::kAnswer, "HTTP/1.0 200 OK\r\n\r\n") == "");
-  CHECK(ends(Kind::kAnswer, "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\n\r\nab") == "ab");
-  CHECK(ends(Kind::kAnswer, "HTTP/1.1 200 OK\r\n") == "-");
-  CHECK(ends(Kind::kAnswer, "HTTP/1.1 100 C\r\n\r\n") == "-");
-  CHECK(ends(Kind::kAnswer, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc") == "-");
-  CHECK(ends(Kind::kAnswer, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n") == "-");
-  CHECK(ends(Kind::kAnswer, "HTTP/1.1 200 OK\r\n\r\nabcdefghijk") == "-");  // over its bound
-  CHECK(ends(Kind::kRequest, "GET / HTTP/1.1\r\n") == "-");
+  CHECK(ends(MessageKind::kResponse, "HTTP/1.1 200 OK\r\n\r\nabc") == "abc");
+  CHECK(ends(MessageKind::kResponse, "HTTP/1.0 200 OK\r\n\r\n") == "");
+  CHECK(ends(MessageKind::kResponse, "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\n\r\nab") == "ab");
+  CHECK(ends(MessageKind::kResponse, "HTTP/1.1 200 OK\r\n") == "-");
+  CHECK(ends(MessageKind::kResponse, "HTTP/1.1 100 C\r\n\r\n") == "-");
+  CHECK(ends(MessageKind::kResponse, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc") == "-");
+  CHECK(ends(MessageKind::kResponse, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n") ==
+        "-");
+  CHECK(ends(MessageKind::kResponse, "HTTP/1.1 200 OK\r\n\r\nabcdefghijk") == "-");  // over its bound
+  CHECK(ends(MessageKind::kRequest, "GET / HTTP/1.1\r\n") == "-");
 }
 
 TEST_CASE("http: bounds on head, body, fields and a chunk's head") {
-  const Bounds small{64, 10, 3};
-  CHECK(whole(Kind::kRequest, "GET /" + std::string(80, 'a'), small).fault == Fault::kHeadTooLarge);
-  CHECK(whole(Kind::kRequest, "GET / HTTP/1.1\r\nA:1\r\nB:1\r\nC:1\r\nD:1\r\n\r\n", small).fault ==
-        Fault::kHeadTooLarge);
-  CHECK(whole(Kind::kRequest, "PUT / HTTP/1.1\r\nContent-Length: 11\r\n\r\n", small).fault ==
-        Fault::kBodyTooLarge);
+  const MessageLimits small{64, 10, 3};
+  CHECK(whole(MessageKind::kRequest, "GET /" + std::string(80, 'a'), small).fault ==
+        ParseError::kHeadTooLarge);
+  CHECK(whole(MessageKind::kRequest, "GET / HTTP/1.1\r\nA:1\r\nB:1\r\nC:1\r\nD:1\r\n\r\n", small).fault ==
+        ParseError::kHeadTooLarge);
+  CHECK(whole(MessageKind::kRequest, "PUT / HTTP/1.1\r\nContent-Length: 11\r\n\r\n", small).fault ==
+        ParseError::kBodyTooLarge);
   const std::string chunked = "PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
-  CHECK(whole(Kind::kRequest, chunked + "8\r\nabcdefgh\r\n8\r\nabcdefgh\r\n", small).fault ==
-        Fault::kBodyTooLarge);
-  CHECK(whole(Kind::kRequest, chunked + "1;" + std::string(200, 'x'), small).fault != Fault::kNone);
+  CHECK(whole(MessageKind::kRequest, chunked + "8\r\nabcdefgh\r\n8\r\nabcdefgh\r\n", small).fault ==
+        ParseError::kBodyTooLarge);
+  CHECK(whole(MessageKind::kRequest, chunked + "1;" + std::string(200, 'x'), small).fault !=
+        ParseError::kNone);
 }
 
 TEST_CASE("http: a body that goes on is taken as it comes") {
-  Reader r(Kind::kAnswer, {8192, SIZE_MAX, 64});
+  Reader r(MessageKind::kResponse, {8192, SIZE_MAX, 64});
   std::string held;
   const auto put = [&](const std::string& s) {
     held += s;
--- a/tests/lab/node_test.cpp
+++ b/tests/lab/node_test.cpp
@@ -45,7 +45,7 @@
   nvme::Host host(loop, h, client);
   const auto until = [&](const std::function<bool()>& done) {
     const double end = clock.now() + 20;
-    while (!done() && clock.now() < end) loop.turn(0.01);
+    while (!done() && clock.now() < end) loop.run_once(0.01);
     return done();
   };
   REQUIRE(until([&] { return client.up; }));
--- a/tests/loop/loop_test.cpp
+++ b/tests/loop/loop_test.cpp
@@ -9,23 +9,23 @@
 
 namespace {
 
-struct Sink final : StreamOwner {
+struct Sink final : StreamHandler {
   std::string bytes;
   std::string reason;
   bool up = false;
   std::size_t most = SIZE_MAX;  // uses at most so many bytes at a time
-  void connected() override { up = true; }
-  std::size_t received(std::span<const std::uint8_t> b) override {
+  void on_connected() override { up = true; }
+  std::size_t on_received(std::span<const std::uint8_t> b) override {
     const auto n = std::min(b.size(), most);
     bytes.append(b.begin(), b.begin() + static_cast<std::ptrdiff_t>(n));
     return n;
   }
-  void lost(const std::string& r) override { reason = r; }
+  void on_closed(const std::string& r) override { reason = r; }
 };
 
 template <typename Until>
 bool run_until(Loop& loop, Until done) {
-  for (int i = 0; i < 5000 && !done(); ++i) loop.turn(0.01);
+  for (int i = 0; i < 5000 && !done(); ++i) loop.run_once(0.01);
   return done();
 }
 
@@ -35,31 +35,31 @@
   ManualClock clock(10);
   Loop loop(clock);
   std::string ran;
-  loop.at(11, [&] { ran += "b"; });
-  loop.at(10.5, [&] { ran += "a"; });
-  loop.at(11, [&] { ran += "c"; });
-  const auto cancelled = loop.at(11, [&] { ran += "x"; });
+  loop.run_at(11, [&] { ran += "b"; });
+  loop.run_at(10.5, [&] { ran += "a"; });
+  loop.run_at(11, [&] { ran += "c"; });
+  const auto cancelled = loop.run_at(11, [&] { ran += "x"; });
   loop.cancel(cancelled);
-  loop.turn(0);
+  loop.run_once(0);
   CHECK(ran.empty());
   clock.advance(1);
-  loop.turn(0);
+  loop.run_once(0);
   CHECK(ran == "abc");
-  CHECK(loop.timers() == 0);
+  CHECK(loop.timer_count() == 0);
 }
 
 TEST_CASE("a timer that sets another for now does not starve the loop, and old cancelled ones are dropped") {
   ManualClock clock;
   Loop loop(clock);
   int ran = 0;
-  for (int i = 0; i < 10000; ++i) loop.cancel(loop.at(1e6, [] {}));
-  loop.at(0, [&] {
+  for (int i = 0; i < 10000; ++i) loop.cancel(loop.run_at(1e6, [] {}));
+  loop.run_at(0, [&] {
     ++ran;
     loop.defer([&] { ++ran; });
   });
-  loop.turn(0);
+  loop.run_once(0);
   CHECK(ran == 2);
-  CHECK(loop.timers() == 0);
+  CHECK(loop.timer_count() == 0);
 }
 
 TEST_CASE("signals come through the loop") {
@@ -74,19 +74,19 @@
 TEST_CASE("the earliest arrival is the turn, or the last look where the loop stood still") {
   ManualClock clock(5);
   Loop loop(clock);
-  loop.turn(0);
+  loop.run_once(0);
   clock.advance(0.01);
-  loop.turn(0);
+  loop.run_once(0);
   CHECK(loop.earliest_arrival() == doctest::Approx(5.01));
   clock.advance(2);
-  loop.turn(0);
+  loop.run_once(0);
   CHECK(loop.earliest_arrival() == doctest::Approx(5.01));
-  CHECK(loop.turn_time() == doctest::Approx(7.01));
+  CHECK(loop.iteration_time() == doctest::Approx(7.01));
   clock.advance(0.02);  // what a full receive buffer had kept back
-  loop.turn(0);
+  loop.run_once(0);
   CHECK(loop.earliest_arrival() == doctest::Approx(5.01));
   clock.advance(0.04);
-  loop.turn(0);
+  loop.run_once(0);
   CHECK(loop.earliest_arrival() == doctest::Approx(7.07));
 }
 
@@ -108,7 +108,7 @@
   const std::string big(8 << 20, 'x');
   served[0]->send({reinterpret_cast<const std::uint8_t*>(big.data()), big.size()});
   CHECK(served[0]->unsent() > 0);
-  CHECK(served[0]->written() + served[0]->unsent() == big.size());
+  CHECK(served[0]->total_written() + served[0]->unsent() == big.size());
   served[1]->send({reinterpret_cast<const std::uint8_t*>("hello"), 5});
   CHECK(run_until(loop, [&] { return quick.bytes == "hello"; }));
   CHECK(slow.bytes.empty());
@@ -145,8 +145,8 @@
 }
 
 TEST_CASE("addresses: numeric only, both families") {
-  CHECK(Address::parse("127.0.0.1:80")->text() == "127.0.0.1:80");
-  CHECK(Address::parse("[::1]:80")->text() == "[::1]:80");
+  CHECK(Address::parse("127.0.0.1:80")->to_string() == "127.0.0.1:80");
+  CHECK(Address::parse("[::1]:80")->to_string() == "[::1]:80");
   for (const char* bad :
        {"", "127.0.0.1", "127.0.0.1:", "127.0.0.1:x", "127.0.0.1:70000", "::1:80", "box:80"}) {
     CHECK_FALSE(Address::parse(bad));
--- a/tests/nvme/host_test.cpp
+++ b/tests/nvme/host_test.cpp
@@ -21,10 +21,10 @@
     listener_ = std::make_unique<Listener>(
         loop, std::move(fd), [this](Fd c) { peers.push_back(std::make_unique<Peer>(*this, std::move(c))); });
   }
-  struct Peer final : StreamOwner {
+  struct Peer final : StreamHandler {
     Peer(RawController& c, Fd fd)
         : owner(c), framing(End::kController, 1 << 22), stream(c.loop_, std::move(fd), *this) {}
-    std::size_t received(View bytes) override {
+    std::size_t on_received(View bytes) override {
       std::size_t done = 0;
       while (true) {
         std::size_t used = 0;
@@ -35,10 +35,10 @@
         done += used;
       }
     }
-    void lost(const std::string&) override { gone = true; }
+    void on_closed(const std::string&) override { gone = true; }
     void put(PduType type, auto pdu, View data = {}) {
       pdu.header.type = static_cast<std::uint8_t>(type);
-      append_pdu(stream.out(), bytes_of(pdu), data, {});
+      append_pdu(stream.write_buffer(), bytes_of(pdu), data, {});
       stream.flush();
     }
     void complete(std::uint16_t cid, Status status = status::kOk, std::uint32_t dw0 = 0) {
@@ -138,12 +138,12 @@
   }
   bool until(const std::function<bool()>& done) {
     const double end = clock.now() + 20;
-    while (!done() && clock.now() < end) loop.turn(0.01);
+    while (!done() && clock.now() < end) loop.run_once(0.01);
     return done();
   }
   void run(double seconds) {
     const double end = clock.now() + seconds;
-    while (clock.now() < end) loop.turn(0.005);
+    while (clock.now() < end) loop.run_once(0.005);
   }
   // A read, or a write of `blocks` blocks of 4096 bytes, and the identifier under which it came.
   std::uint16_t send(int transaction, bool write, std::uint32_t blocks = 1, double time = 10) {
@@ -306,10 +306,10 @@
   o.host.keep_alive = 0;
   gateway::NodeLink link(loop, 0, o, ends);
   const auto settle = [&] {
-    for (int i = 0; i < 4; ++i) loop.turn(0);
+    for (int i = 0; i < 4; ++i) loop.run_once(0);
   };
   const auto until = [&](const std::function<bool()>& done) {
-    for (int i = 0; i < 10000 && !done(); ++i) loop.turn(0.001);
+    for (int i = 0; i < 10000 && !done(); ++i) loop.run_once(0.001);
     return done();
   };
   int orderings = 0;
@@ -441,7 +441,7 @@
   gateway::ListWatch watch(loop, o, told);
   const auto until = [&](const std::function<bool()>& done) {
     const double end = clock.now() + 20;
-    while (!done() && clock.now() < end) loop.turn(0.01);
+    while (!done() && clock.now() < end) loop.run_once(0.01);
     return done();
   };
   watch.watch();
--- a/tests/platform/crossings_test.cpp
+++ b/tests/platform/crossings_test.cpp
@@ -106,7 +106,7 @@
   const double from = rig.clock.now();
   rig.clock.advance(0.2);
   REQUIRE(rig.until([&] { return !rig.node0.came.empty(); }));
-  const double told = std::stod(*rig.node0.came[0].request.find("X-Budget-Ms"));
+  const double told = std::stod(*rig.node0.came[0].request.find_field("X-Budget-Ms"));
   CHECK(told <= 1000 * (1.0 - (rig.clock.now() - from)) + 5);
   CHECK(told <= 600);  // of the 800 that the module would wait from the dispatch
   CHECK(told > 500);
@@ -126,7 +126,7 @@
     CHECK(rig.status(c) == 0);
     rig.node0.came[0].peer->send("c");
     rig.run(0.02);
-    rig.node0.came[0].peer->stream.finish();
+    rig.node0.came[0].peer->stream.half_close();
     REQUIRE(rig.until([&] { return rig.status(c) != 0; }));
     CHECK(rig.status(c) == 200);
     CHECK(rig.body(c) == "abc");
@@ -318,7 +318,7 @@
   test::ScriptDiscovery other(rig.loop);
   other.answers = false;
   const double moved = rig.clock.now();
-  rig.json["discovery"] = other.server.address.text();
+  rig.json["discovery"] = other.server.address.to_string();
   rig.scheduler->reload(rig.config());
   REQUIRE(rig.until([&] { return other.asked.size() == 1; }, 0.1));
   other.answers = true;
--- a/tests/platform/rig.h
+++ b/tests/platform/rig.h
@@ -25,16 +25,16 @@
 }
 
 // One connection: keeps what came until it is looked at.
-class Peer final : public StreamOwner {
+class Peer final : public StreamHandler {
  public:
   Peer(Loop& loop, Fd fd, bool connecting)
       : descriptor(fd.get()), stream(loop, std::move(fd), *this, connecting) {}
-  std::size_t received(std::span<const std::uint8_t> b) override {
+  std::size_t on_received(std::span<const std::uint8_t> b) override {
     in.append(b.begin(), b.end());
     if (came) came(*this);
     return b.size();
   }
-  void lost(const std::string&) override { gone = true; }
+  void on_closed(const std::string&) override { gone = true; }
   void send(std::string_view s) { stream.send({reinterpret_cast<const std::uint8_t*>(s.data()), s.size()}); }
 
   const int descriptor;
@@ -78,11 +78,11 @@
   explicit ScriptNode(Loop& loop)
       : server(loop, [this](Peer& p) {
           while (true) {
-            http::Reader reader(http::Kind::kRequest, {8192, platform::LongBodies::kLongest, 64});
+            http::Reader reader(http::MessageKind::kRequest, {8192, platform::LongBodies::kLongest, 64});
             const auto used = reader.put({reinterpret_cast<const std::uint8_t*>(p.in.data()), p.in.size()});
             if (!reader.done()) return;
             p.in.erase(0, used);
-            came.push_back({&p, reader.take()});
+            came.push_back({&p, reader.take_message()});
             if (!reply.empty()) p.send(reply);
           }
         }) {}
@@ -121,7 +121,7 @@
     std::filesystem::create_directories(folder);
     json = {{"name", "n0"},
             {"listen", "127.0.0.1:0"},
-            {"discovery", discovery.server.address.text()},
+            {"discovery", discovery.server.address.to_string()},
             {"seed", "8c1f30d27a5be964"},
             {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", sockets}}},
             {"known",
@@ -160,9 +160,9 @@
   }
   static std::string entry(const std::string& id, const Address& at, int shard, const char* state = "Ready",
                            double started = 0) {
-    return nlohmann::json{{"instanceId", id},   {"hostPort", at.text()}, {"zone", "a"},
-                          {"machineType", "m"}, {"cell", shard},         {"lifecycle", state},
-                          {"weight", 1.0},      {"startedAtMs", started}}
+    return nlohmann::json{
+        {"instanceId", id}, {"hostPort", at.to_string()}, {"zone", "a"},   {"machineType", "m"},
+        {"cell", shard},    {"lifecycle", state},         {"weight", 1.0}, {"startedAtMs", started}}
         .dump();
   }
   static std::string news(int version, bool whole, const std::vector<std::string>& entries) {
@@ -202,7 +202,7 @@
   }
 
   void turn() {
-    loop.turn(0.0002);
+    loop.run_once(0.0002);
     clock.advance(0.001);
   }
   bool until(const std::function<bool()>& done, double most = 20) {
--- a/tests/platform/scheduler_test.cpp
+++ b/tests/platform/scheduler_test.cpp
@@ -29,9 +29,9 @@
   const auto& r = rig.node1.came[0].request;
   CHECK(r.method == "GET");
   CHECK(r.target == "/api/00000003b4d60021/7f3a9c21e0b4d655");
-  CHECK(*r.find("X-Call-Id") == "9b1f03aa5c7e2d41");
-  CHECK(r.find("Connection") == nullptr);
-  CHECK(std::stod(*r.find("X-Budget-Ms")) <= 1000);
+  CHECK(*r.find_field("X-Call-Id") == "9b1f03aa5c7e2d41");
+  CHECK(r.find_field("Connection") == nullptr);
+  CHECK(std::stod(*r.find_field("X-Budget-Ms")) <= 1000);
   rig.until([&] { return rig.scheduler->open() == 0; });
   CHECK(rig.scheduler->open() == 0);
 }
@@ -54,7 +54,7 @@
   REQUIRE(rig.node0.came.size() == 2);
   CHECK(rig.node0.came[1].request.body == "abcde");
   CHECK(rig.node0.came[1].request.target == "/a/b/00000003b4d60021/7f3a9c21e0b4d655?x=1");
-  CHECK(*rig.node0.came[1].request.find("Idempotency-Key") == "k1");
+  CHECK(*rig.node0.came[1].request.find_field("Idempotency-Key") == "k1");
   CHECK(rig.node0.server.peers.size() == 1);
   CHECK(rig.scheduler->pool().counts().reused == 1);
 }
@@ -429,13 +429,13 @@
   rig.run(0.3);
   rig.node0.came[0].peer->send(test::answer_text(200, "x"));
   REQUIRE(rig.until([&] { return rig.node0.came.size() == 2; }));
-  CHECK(std::stod(*rig.node0.came[1].request.find("X-Budget-Ms")) <= 710);  // of 1000
+  CHECK(std::stod(*rig.node0.came[1].request.find_field("X-Budget-Ms")) <= 710);  // of 1000
   // One that comes alone afterwards has its whole time again.
   rig.node0.came[1].peer->send(test::answer_text(200, "x"));
   rig.run(0.3);
   c.send(rig.request("d"));
   REQUIRE(rig.until([&] { return rig.node0.came.size() == 3; }));
-  CHECK(std::stod(*rig.node0.came[2].request.find("X-Budget-Ms")) > 710);
+  CHECK(std::stod(*rig.node0.came[2].request.find_field("X-Budget-Ms")) > 710);
 }
 
 TEST_CASE("platform: a break before the last byte was handed to the system is no connection") {
@@ -472,7 +472,7 @@
   REQUIRE(rig.discovery.asked.size() == 1);
   CHECK(rig.discovery.asked[0] == "GET /v1/servers?follow=1&since=7");
   test::ScriptDiscovery other(rig.loop);
-  rig.json["discovery"] = other.server.address.text();
+  rig.json["discovery"] = other.server.address.to_string();
   rig.scheduler->reload(rig.config());
   REQUIRE(rig.until([&] { return other.asked.size() == 1; }));
   other.tell(rig.news(8, false, {rig.entry("s-0", rig.node1.server.address, 0)}));
--- a/tests/store/writer_test.cpp
+++ b/tests/store/writer_test.cpp
@@ -29,7 +29,7 @@
 
 bool until(Loop& loop, const std::function<bool()>& done) {
   const double end = loop.now() + 20;
-  while (!done() && loop.now() < end) loop.turn(0.01);
+  while (!done() && loop.now() < end) loop.run_once(0.01);
   return done();
 }
 
@@ -50,7 +50,7 @@
       } else {
         ++refused;
         CHECK(writer.fill() > 0.9);
-        loop.turn(0.01);
+        loop.run_once(0.01);
       }
     }
     CHECK(refused > 0);
@@ -73,7 +73,7 @@
     Writer writer(loop, open(files), {100, 100000, 64}, owner);
     writer.append("a");
     REQUIRE(until(loop, [&] { return owner.upto == 1; }));
-    loop.turn(0.05);
+    loop.run_once(0.05);
     files.room = 0;
     writer.append("b");
     writer.append("c");
