--- a/src/store/log_writer.cpp
+++ b/src/store/log_writer.cpp
@@ -74,7 +74,7 @@
 }
 
 // Takes over what the writer thread has reported and notifies the observer.
-void LogWriter::readable() {
+void LogWriter::on_readable() {
   char discarded[64];
   while (::read(wake_pipe_read_.get(), discarded, sizeof discarded) > 0) {
   }
--- a/src/store/log_writer.h
+++ b/src/store/log_writer.h
@@ -32,7 +32,7 @@
   std::size_t max_group_records = 4096;  // 1: an fsync for each record
 };
 
-class LogWriter final : private Pollable {
+class LogWriter final : private PollHandler {
  public:
   // Starts the thread. Throws std::runtime_error if no pipe can be created.
   LogWriter(Loop& loop, std::unique_ptr<Log> log, const LogWriterOptions& options,
@@ -54,9 +54,9 @@
   static constexpr double kResumeInterval = 0.25;  // s
 
  private:
-  void readable() override;
-  void writable() override {}
-  void broken() override {}
+  void on_readable() override;
+  void on_writable() override {}
+  void on_hangup() override {}
   void run_thread();
 
   // Used by the loop's thread, unless noted.
--- a/tests/store/log_writer_test.cpp
+++ b/tests/store/log_writer_test.cpp
@@ -30,7 +30,7 @@
 // Runs the loop until the condition holds. Returns false if it does not within 20 s.
 bool run_until(Loop& loop, const std::function<bool()>& condition) {
   const double deadline = loop.now() + 20;
-  while (!condition() && loop.now() < deadline) loop.turn(0.01);
+  while (!condition() && loop.now() < deadline) loop.run_once(0.01);
   return condition();
 }
 
@@ -51,7 +51,7 @@
       } else {
         ++refused;
         CHECK(writer.queue_fill() > 0.9);
-        loop.turn(0.01);
+        loop.run_once(0.01);
       }
     }
     CHECK(refused > 0);
@@ -74,7 +74,7 @@
     LogWriter writer(loop, open_log(file_system), {100, 100000, 64}, observer);
     writer.append("a");
     REQUIRE(run_until(loop, [&] { return observer.durable_sequence == 1; }));
-    loop.turn(0.05);
+    loop.run_once(0.05);
     file_system.capacity_bytes = 0;
     writer.append("b");
     writer.append("c");
