--- a/src/config/reader.cpp
+++ b/src/config/reader.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <sstream>
 
-#include "expr/nearest.h"
+#include "expr/suggest.h"
 
 namespace heronworks::config {
 namespace {
@@ -105,7 +105,7 @@
   }
   std::string all;
   for (const std::string& w : words) all += (all.empty() ? "" : ", ") + w;
-  const std::string near = value ? expr::nearest(*value, words) : "";
+  const std::string near = value ? expr::suggest(*value, words) : "";
   complain(key, "must be one of " + all + (near.empty() ? "" : "; did you mean " + near + "?"));
   return absent;
 }
@@ -174,7 +174,7 @@
   for (const auto& [key, node] : *table_) {
     const std::string name(key.str());
     if (known_.contains(name)) continue;
-    const std::string near = expr::nearest(name, words);
+    const std::string near = expr::suggest(name, words);
     problems_->push_back({file_, key.source().begin.line, key.source().begin.column, field(name),
                           "unknown" + (near.empty() ? std::string() : "; did you mean " + near + "?")});
   }
--- a/src/config/rules.cpp
+++ b/src/config/rules.cpp
@@ -25,7 +25,7 @@
     }
     s.finish();
     std::string reason;
-    if (!expr::Networks::make(entries, sets[name], reason)) s.complain("networks", reason);
+    if (!expr::NetworkSet::parse(entries, sets[name], reason)) s.complain("networks", reason);
   }
 }
 
@@ -41,9 +41,9 @@
     const std::string name = s.need_text("name");
     const std::string is = s.need_text("is");
     s.finish();
-    std::vector<expr::Fault> faults;
+    std::vector<expr::Diagnostic> faults;
     if (!name.empty() && !is.empty()) definitions.add(name, is, *rules.networks, expr::Limits{}, faults);
-    for (const expr::Fault& f : faults) s.complain("is", expr::shown(is, f));
+    for (const expr::Diagnostic& f : faults) s.complain("is", expr::format_diagnostic(is, f));
   }
   std::vector<Section> tables = root.list("rule");
   std::vector<expr::RuleSource> sources;
@@ -54,8 +54,8 @@
     r.key = s.text("key", "");
     r.units = s.text("units", "");
     if (s.has("profile")) r.profile = s.one_of("profile", profile_names, -1);
-    r.turn_back = s.text("turn_back", "");
-    r.most_share = s.number("most_share", 1, 0, 1);
+    r.reject_reason = s.text("turn_back", "");
+    r.max_share = s.number("most_share", 1, 0, 1);
     Section labels = s.section("labels");
     for (const std::string& name : labels.keys()) r.labels.emplace_back(name, labels.text(name, ""));
     std::size_t bytes = 0;
@@ -68,13 +68,13 @@
   }
   std::vector<bool> ordered;
   for (const Profile& p : profiles) ordered.push_back(p.in_order);
-  std::vector<expr::RuleFault> faults;
+  std::vector<expr::RuleDiagnostic> faults;
   auto set = expr::RuleSet::make(sources, definitions, *rules.networks, expr::Limits{}, {}, ordered, faults);
-  for (const expr::RuleFault& f : faults) {
+  for (const expr::RuleDiagnostic& f : faults) {
     const expr::RuleSource& r = sources[f.rule];
     const std::string text = f.field == "when" ? r.when : f.field == "key" ? r.key : r.units;
-    if (f.field.empty()) root.complain("rule", f.fault.text);
-    else tables[f.rule].complain(f.field, expr::shown(text, f.fault));
+    if (f.field.empty()) root.complain("rule", f.diagnostic.message);
+    else tables[f.rule].complain(f.field, expr::format_diagnostic(text, f.diagnostic));
   }
   if (problems.size() > before || !set) return std::nullopt;
   rules.set = std::move(*set);
--- a/src/expr/compile.cpp
+++ b/src/expr/compile.cpp
@@ -1,4 +1,4 @@
-// From a tree to a program: types, folding, code, verification. See program.h.
+// Type checker, constant folder, code generator and verifier.
 #include <algorithm>
 #include <bitset>
 #include <cmath>
@@ -9,789 +9,860 @@
 namespace heronworks::expr {
 namespace {
 
-bool whole(Type t) { return t == kInt || t == kUint; }
-bool text(Type t) { return t == kString || t == kBytes; }
-bool signed_word(Type t) { return t == kInt || t == kDuration; }
-bool unsigned_word(Type t) { return t == kUint || t == kSize; }
-bool ordered(Type t) {
-  return signed_word(t) || unsigned_word(t) || t == kDouble || text(t) || t == kAddress;
+bool is_integer(Type t) { return t == kInt || t == kUint; }
+bool is_text(Type t) { return t == kString || t == kBytes; }
+bool is_signed_word(Type t) { return t == kInt || t == kDuration; }
+bool is_unsigned_word(Type t) { return t == kUint || t == kSize; }
+bool has_order(Type t) {
+  return is_signed_word(t) || is_unsigned_word(t) || t == kDouble || is_text(t) || t == kAddress;
 }
 
 class Compiler {
  public:
-  Compiler(const NetworkSets& sets, const Limits& limits, std::vector<Fault>& faults, bool folding)
-      : sets_(sets), limits_(limits), faults_(faults), folding_(folding) {}
+  Compiler(const NetworkSets& network_sets, const Limits& limits, std::vector<Diagnostic>& diagnostics,
+           bool is_folding)
+      : network_sets_(network_sets), limits_(limits), diagnostics_(diagnostics), is_folding_(is_folding) {}
 
-  std::optional<Program> run(Tree& tree, std::optional<Type> wanted) {
-    const std::size_t before = faults_.size();
+  std::optional<Program> run(AstNode& tree, std::optional<Type> required_type) {
+    const std::size_t errors_before = diagnostics_.size();
     check(tree);
-    if (faults_.size() == before && wanted) {
-      adapt(tree, *wanted);
-      if (tree.type != *wanted)
-        fault(tree, "a " + wanted->text() + " is expected, this is a " + tree.type.text());
+    if (diagnostics_.size() == errors_before && required_type) {
+      convert_literal(tree, *required_type);
+      if (tree.type != *required_type)
+        report(tree, "expected type " + required_type->to_string() + ", got " + tree.type.to_string());
     }
-    if (faults_.size() == before && tree.type.shape != Shape::kOne)
-      fault(tree, "a " + tree.type.text() + " is no result");
-    if (faults_.size() == before && tree.type == kNetwork) fault(tree, "a network stands only after `in`");
-    if (faults_.size() > before) return std::nullopt;
-    p_.result = tree.type;
+    if (diagnostics_.size() == errors_before && tree.type.shape != TypeShape::kScalar)
+      report(tree, "an expression cannot result in a " + tree.type.to_string());
+    if (diagnostics_.size() == errors_before && tree.type == kNetwork)
+      report(tree, "a network can only be the right operand of 'in'");
+    if (diagnostics_.size() > errors_before) return std::nullopt;
+    program_.result_type = tree.type;
     emit(tree, 0);
-    p_.registers = std::max<std::size_t>(p_.registers, 1);
-    if (p_.code.size() > limits_.instructions)
-      fault(tree, std::to_string(p_.code.size()) + " instructions, at most " +
-                      std::to_string(limits_.instructions) + " are allowed");
-    if (p_.scratch > limits_.scratch)
-      fault(tree, std::to_string(p_.scratch) + " bytes of computed texts, at most " +
-                      std::to_string(limits_.scratch) + " are allowed");
-    if (p_.cost > limits_.cost)
-      fault(tree, "it may cost " + std::to_string(p_.cost) + " steps, at most " +
-                      std::to_string(limits_.cost) + " are allowed");
-    if (faults_.size() > before) return std::nullopt;
-    for (const Constant& c : p_.constants) {
-      p_.values.push_back(text(c.type) ? Value(std::string_view(c.bytes)) : c.value);
+    program_.register_count = std::max<std::size_t>(program_.register_count, 1);
+    if (program_.instructions.size() > limits_.max_instructions)
+      report(tree, "program has " + std::to_string(program_.instructions.size()) + " instructions, at most " +
+                       std::to_string(limits_.max_instructions) + " are allowed");
+    if (program_.scratch_bytes > limits_.max_scratch_bytes)
+      report(tree, "program may compute " + std::to_string(program_.scratch_bytes) +
+                       " bytes of text, at most " + std::to_string(limits_.max_scratch_bytes) +
+                       " are allowed");
+    if (program_.max_steps > limits_.max_steps)
+      report(tree, "expression may cost " + std::to_string(program_.max_steps) + " steps, at most " +
+                       std::to_string(limits_.max_steps) + " are allowed");
+    if (diagnostics_.size() > errors_before) return std::nullopt;
+    for (const Constant& constant : program_.constants) {
+      program_.constant_values.push_back(is_text(constant.type) ? Value(std::string_view(constant.bytes))
+                                                                : constant.value);
     }
-    std::size_t own = 0;
-    for (const Networks*& n : p_.networks) n = n == nullptr ? &p_.own_networks[own++] : n;
-    return std::move(p_);
+    // The addresses of literal sets are final only now.
+    std::size_t next_literal = 0;
+    for (const NetworkSet*& set : program_.network_sets)
+      set = set == nullptr ? &program_.literal_network_sets[next_literal++] : set;
+    return std::move(program_);
   }
 
  private:
-  void fault(const Tree& t, std::string what) { faults_.push_back({t.place, std::move(what)}); }
-
-  // A whole literal may stand for another type that holds it without loss.
-  static void adapt(Tree& t, Type want) {
-    if (t.node != Node::kConstant || t.type != kInt) return;
-    const std::int64_t v = t.constant.value.i;
-    if (want == kUint && v >= 0) t.constant.value = Value(static_cast<std::uint64_t>(v));
-    else if (want == kDouble && v <= (std::int64_t{1} << 53) && v >= -(std::int64_t{1} << 53))
-      t.constant.value = Value(static_cast<double>(v));
+  void report(const AstNode& node, std::string message) {
+    diagnostics_.push_back({node.location, std::move(message)});
+  }
+
+  // Converts an int constant to `target` (uint or double) if that is lossless; leaves other nodes alone.
+  static void convert_literal(AstNode& node, Type target) {
+    if (node.kind != NodeKind::kConstant || node.type != kInt) return;
+    const std::int64_t number = node.constant.value.as_int;
+    if (target == kUint && number >= 0) node.constant.value = Value(static_cast<std::uint64_t>(number));
+    else if (target == kDouble && number <= (std::int64_t{1} << 53) && number >= -(std::int64_t{1} << 53))
+      node.constant.value = Value(static_cast<double>(number));
     else return;
-    t.constant.type = t.type = want;
+    node.constant.type = node.type = target;
   }
-  static void adapt_both(Tree& a, Tree& b) {
-    adapt(a, b.type);
-    adapt(b, a.type);
+  static void convert_literals(AstNode& left, AstNode& right) {
+    convert_literal(left, right.type);
+    convert_literal(right, left.type);
   }
 
-  void check(Tree& t) {
-    const std::size_t before = faults_.size();
-    // A let is in sight of its body only.
-    if (t.node == Node::kLet) {
-      check(*t.args[0]);
-      if (t.args[0]->type.shape != Shape::kOne || t.args[0]->type == kNetwork)
-        fault(*t.args[0], "a let holds one value");
-      if (std::any_of(lets_.begin(), lets_.end(), [&](const Tree* l) { return l->text == t.text; }))
-        fault(t, "'" + t.text + "' is named already");
-      lets_.push_back(&t);
-      check(*t.args[1]);
+  // Sets the type of `node` and its children, and folds constants. Reports all errors that it finds.
+  void check(AstNode& node) {
+    const std::size_t errors_before = diagnostics_.size();
+    // The name of a let is visible in its body only.
+    if (node.kind == NodeKind::kLet) {
+      check(*node.children[0]);
+      if (node.children[0]->type.shape != TypeShape::kScalar || node.children[0]->type == kNetwork)
+        report(*node.children[0], "'let' requires a single value, got " + node.children[0]->type.to_string());
+      if (std::any_of(lets_.begin(), lets_.end(), [&](const AstNode* let) { return let->name == node.name; }))
+        report(node, "'" + node.name + "' is already defined by an enclosing 'let'");
+      lets_.push_back(&node);
+      check(*node.children[1]);
       lets_.pop_back();
-      t.type = t.args[1]->type;
-      t.most = t.args[1]->most;
+      node.type = node.children[1]->type;
+      node.max_bytes = node.children[1]->max_bytes;
       return;
     }
-    for (auto& a : t.args) check(*a);
-    if (faults_.size() > before) return;
-    switch (t.node) {
-      case Node::kConstant:
-        t.type = t.constant.type;
-        t.most = t.constant.bytes.size();
-        return;
-      case Node::kField:
-        t.type = fields()[static_cast<std::size_t>(t.field)].type;
-        t.most = fields()[static_cast<std::size_t>(t.field)].most;
-        return;
-      case Node::kName:
-        return check_name(t);
-      case Node::kSet:
-        if (!sets_.contains(t.text)) fault(t, "there is no set '$" + t.text + "'" + near_set(t.text));
-        t.type = {Base::kNetwork, Shape::kSet};
-        return;
-      case Node::kList:
-        return check_list(t);
-      case Node::kRange:
-        return check_range(t);
-      case Node::kUnary:
-        check_unary(t);
+    for (auto& child : node.children) check(*child);
+    if (diagnostics_.size() > errors_before) return;
+    switch (node.kind) {
+      case NodeKind::kConstant:
+        node.type = node.constant.type;
+        node.max_bytes = node.constant.bytes.size();
+        return;
+      case NodeKind::kField:
+        node.type = fields()[static_cast<std::size_t>(node.field)].type;
+        node.max_bytes = fields()[static_cast<std::size_t>(node.field)].max_bytes;
+        return;
+      case NodeKind::kIdentifier:
+        return check_identifier(node);
+      case NodeKind::kNetworkSet:
+        if (!network_sets_.contains(node.name))
+          report(node, "unknown network set '$" + node.name + "'" + suggest_set(node.name));
+        node.type = {BaseType::kNetwork, TypeShape::kSet};
+        return;
+      case NodeKind::kList:
+        return check_list(node);
+      case NodeKind::kRange:
+        return check_range(node);
+      case NodeKind::kUnary:
+        check_unary(node);
         break;
-      case Node::kBinary:
-        check_binary(t);
+      case NodeKind::kBinary:
+        check_binary(node);
         break;
-      case Node::kCondition:
-        check_condition(t);
+      case NodeKind::kConditional:
+        check_conditional(node);
         break;
-      case Node::kCall:
-        check_call(t);
+      case NodeKind::kCall:
+        check_call(node);
         break;
-      case Node::kLet:
+      case NodeKind::kLet:
         break;
     }
-    if (faults_.size() == before) fold(t);
+    if (diagnostics_.size() == errors_before) fold(node);
   }
 
-  std::string near_set(const std::string& name) const {
-    for (const auto& [known, set] : sets_) {
-      if (known.substr(0, 2) == name.substr(0, 2)) return "; did you mean $" + known + "?";
+  std::string suggest_set(const std::string& name) const {
+    for (const auto& [candidate, set] : network_sets_) {
+      if (candidate.substr(0, 2) == name.substr(0, 2)) return "; did you mean $" + candidate + "?";
     }
     return "";
   }
 
-  void check_name(Tree& t) {
+  void check_identifier(AstNode& node) {
     for (std::size_t i = 0; i < lets_.size(); ++i) {
-      if (lets_[i]->text != t.text) continue;
-      t.slot = static_cast<int>(i);
-      t.type = lets_[i]->args[0]->type;
-      t.most = lets_[i]->args[0]->most;
+      if (lets_[i]->name != node.name) continue;
+      node.let_index = static_cast<int>(i);
+      node.type = lets_[i]->children[0]->type;
+      node.max_bytes = lets_[i]->children[0]->max_bytes;
       return;
     }
-    const std::string near = nearest_name(t.text);
-    fault(t, "unknown name '" + t.text + "'" + (near.empty() ? "" : "; did you mean " + near + "?"));
+    const std::string suggestion = suggest_name(node.name);
+    report(node, "unknown name '" + node.name + "'" +
+                     (suggestion.empty() ? "" : "; did you mean " + suggestion + "?"));
   }
 
-  void check_list(Tree& t) {
-    if (t.args.empty()) return fault(t, "an empty list has no type");
-    const Type one = t.args[0]->type;
-    for (auto& a : t.args) {
-      if (a->node != Node::kConstant) return fault(*a, "a list holds literals only");
-      if (a->type != one) return fault(*a, "a list of " + one.text() + " holds no " + a->type.text());
+  void check_list(AstNode& node) {
+    if (node.children.empty()) return report(node, "a list must not be empty");
+    const Type item_type = node.children[0]->type;
+    for (auto& item : node.children) {
+      if (item->kind != NodeKind::kConstant) return report(*item, "list items must be literals");
+      if (item->type != item_type)
+        return report(*item, "list items must have the same type, expected " + item_type.to_string() +
+                                 ", got " + item->type.to_string());
     }
-    if (one.shape != Shape::kOne) return fault(t, "a list holds single values");
-    t.type = {one.base, Shape::kList};
+    if (item_type.shape != TypeShape::kScalar) return report(node, "list items must be single values");
+    node.type = {item_type.base, TypeShape::kList};
   }
 
-  void check_range(Tree& t) {
-    Tree& a = *t.args[0];
-    Tree& b = *t.args[1];
-    adapt_both(a, b);
-    if (a.type != b.type) return fault(t, "a range from " + a.type.text() + " to " + b.type.text());
-    if (!ordered(a.type) || text(a.type)) return fault(t, "no range of " + a.type.text());
-    if (a.node != Node::kConstant || b.node != Node::kConstant)
-      return fault(t, "the ends of a range are literals");
-    const bool empty = signed_word(a.type)     ? a.constant.value.i > b.constant.value.i
-                       : unsigned_word(a.type) ? a.constant.value.u > b.constant.value.u
-                       : a.type == kDouble     ? a.constant.value.d > b.constant.value.d
-                                               : a.constant.value.a > b.constant.value.a;
-    if (empty) return fault(t, "a range from its end to its start holds nothing");
-    t.type = {a.type.base, Shape::kRange};
+  void check_range(AstNode& node) {
+    AstNode& lower = *node.children[0];
+    AstNode& upper = *node.children[1];
+    convert_literals(lower, upper);
+    if (lower.type != upper.type)
+      return report(node, "range bounds must have the same type, got " + lower.type.to_string() + " and " +
+                              upper.type.to_string());
+    if (!has_order(lower.type) || is_text(lower.type))
+      return report(node, "unsupported range of " + lower.type.to_string());
+    if (lower.kind != NodeKind::kConstant || upper.kind != NodeKind::kConstant)
+      return report(node, "range bounds must be literals");
+    const bool empty =
+        is_signed_word(lower.type)     ? lower.constant.value.as_int > upper.constant.value.as_int
+        : is_unsigned_word(lower.type) ? lower.constant.value.as_uint > upper.constant.value.as_uint
+        : lower.type == kDouble        ? lower.constant.value.as_double > upper.constant.value.as_double
+                                       : lower.constant.value.as_address > upper.constant.value.as_address;
+    if (empty) return report(node, "empty range: the lower bound exceeds the upper bound");
+    node.type = {lower.type.base, TypeShape::kRange};
   }
 
-  void check_unary(Tree& t) {
-    const Type a = t.args[0]->type;
-    if (t.op == Op::kNot ? a != kBool : a != kInt && a != kDouble && a != kDuration)
-      return fault(t, std::string(name(t.op)) + " has no meaning for a " + a.text());
-    t.type = a;
+  void check_unary(AstNode& node) {
+    const Type type = node.children[0]->type;
+    if (node.op == Operator::kNot ? type != kBool : type != kInt && type != kDouble && type != kDuration)
+      return report(node, std::string("unary operator '") + symbol(node.op) + "' cannot be applied to " +
+                              type.to_string());
+    node.type = type;
   }
 
-  void mistake(Tree& t) {
-    fault(t, std::string("'") + name(t.op) + "' has no meaning between a " + t.args[0]->type.text() +
-                 " and a " + t.args[1]->type.text());
+  void report_operand_types(AstNode& node) {
+    report(node, std::string("operator '") + symbol(node.op) + "' cannot be applied to " +
+                     node.children[0]->type.to_string() + " and " + node.children[1]->type.to_string());
   }
 
-  void check_binary(Tree& t) {
-    Tree& a = *t.args[0];
-    Tree& b = *t.args[1];
-    if (t.op == Op::kIn) return check_in(t);
-    adapt_both(a, b);
-    const bool same = a.type == b.type && a.type.shape == Shape::kOne && a.type != kNetwork;
-    switch (t.op) {
-      case Op::kOr:
-      case Op::kAnd:
-        if (a.type != kBool || b.type != kBool) mistake(t);
-        t.type = kBool;
-        return;
-      case Op::kEqual:
-      case Op::kUnequal:
-        if (!same) mistake(t);
-        t.type = kBool;
-        return;
-      case Op::kLess:
-      case Op::kAtMost:
-      case Op::kGreater:
-      case Op::kAtLeast:
-        if (!same || !ordered(a.type)) mistake(t);
-        t.type = kBool;
-        return;
-      case Op::kAdd:
-        if (!same || a.type == kBool || a.type == kAddress) return mistake(t);
-        t.type = a.type;
-        t.most = a.most + b.most;
-        if (text(t.type) && t.most > limits_.text)
-          fault(t, "a text of up to " + std::to_string(t.most) + " bytes, at most " +
-                       std::to_string(limits_.text) + " are allowed");
-        return;
-      case Op::kSubtract:
-        if (!same || a.type == kBool || a.type == kAddress || text(a.type)) return mistake(t);
-        t.type = a.type;
-        return;
-      case Op::kMultiply:
-      case Op::kDivide:
-        if ((a.type == kDuration && b.type == kInt) || (a.type == kSize && b.type == kUint))
-          return void(t.type = a.type);
-        if (a.type == kSize && b.type == kInt) {
-          adapt(b, kUint);
-          if (b.type == kUint) return void(t.type = kSize);
+  void check_binary(AstNode& node) {
+    AstNode& left = *node.children[0];
+    AstNode& right = *node.children[1];
+    if (node.op == Operator::kIn) return check_in(node);
+    convert_literals(left, right);
+    const bool same_scalar_type =
+        left.type == right.type && left.type.shape == TypeShape::kScalar && left.type != kNetwork;
+    switch (node.op) {
+      case Operator::kOr:
+      case Operator::kAnd:
+        if (left.type != kBool || right.type != kBool) report_operand_types(node);
+        node.type = kBool;
+        return;
+      case Operator::kEqual:
+      case Operator::kNotEqual:
+        if (!same_scalar_type) report_operand_types(node);
+        node.type = kBool;
+        return;
+      case Operator::kLess:
+      case Operator::kLessOrEqual:
+      case Operator::kGreater:
+      case Operator::kGreaterOrEqual:
+        if (!same_scalar_type || !has_order(left.type)) report_operand_types(node);
+        node.type = kBool;
+        return;
+      case Operator::kAdd:
+        if (!same_scalar_type || left.type == kBool || left.type == kAddress)
+          return report_operand_types(node);
+        node.type = left.type;
+        node.max_bytes = left.max_bytes + right.max_bytes;
+        if (is_text(node.type) && node.max_bytes > limits_.max_text_bytes)
+          report(node, "concatenation may have " + std::to_string(node.max_bytes) + " bytes, at most " +
+                           std::to_string(limits_.max_text_bytes) + " are allowed");
+        return;
+      case Operator::kSubtract:
+        if (!same_scalar_type || left.type == kBool || left.type == kAddress || is_text(left.type))
+          return report_operand_types(node);
+        node.type = left.type;
+        return;
+      case Operator::kMultiply:
+      case Operator::kDivide:
+        if ((left.type == kDuration && right.type == kInt) || (left.type == kSize && right.type == kUint))
+          return void(node.type = left.type);
+        if (left.type == kSize && right.type == kInt) {
+          convert_literal(right, kUint);
+          if (right.type == kUint) return void(node.type = kSize);
         }
-        if (!same || (!whole(a.type) && a.type != kDouble)) return mistake(t);
-        t.type = a.type;
+        if (!same_scalar_type || (!is_integer(left.type) && left.type != kDouble))
+          return report_operand_types(node);
+        node.type = left.type;
         return;
-      case Op::kRemainder:
-        if (!same || (!whole(a.type) && a.type != kDuration && a.type != kSize)) return mistake(t);
-        t.type = a.type;
+      case Operator::kRemainder:
+        if (!same_scalar_type || (!is_integer(left.type) && left.type != kDuration && left.type != kSize))
+          return report_operand_types(node);
+        node.type = left.type;
         return;
       default:
         return;
     }
   }
 
-  void check_in(Tree& t) {
-    Tree& a = *t.args[0];
-    Tree& b = *t.args[1];
-    t.type = kBool;
-    if (a.type.shape != Shape::kOne) return mistake(t);
-    if (b.node == Node::kList) {
-      for (auto& item : b.args) adapt(*item, a.type);
-      if (std::all_of(b.args.begin(), b.args.end(), [&](auto& i) { return i->type == a.type; }))
-        b.type = {a.type.base, Shape::kList};
-      adapt(a, {b.type.base, Shape::kOne});
+  void check_in(AstNode& node) {
+    AstNode& left = *node.children[0];
+    AstNode& right = *node.children[1];
+    node.type = kBool;
+    if (left.type.shape != TypeShape::kScalar) return report_operand_types(node);
+    if (right.kind == NodeKind::kList) {
+      for (auto& item : right.children) convert_literal(*item, left.type);
+      if (std::all_of(right.children.begin(), right.children.end(),
+                      [&](auto& item) { return item->type == left.type; }))
+        right.type = {left.type.base, TypeShape::kList};
+      convert_literal(left, {right.type.base, TypeShape::kScalar});
     }
-    if (b.node == Node::kRange) {
-      for (auto& item : b.args) adapt(*item, a.type);
-      b.type = {b.args[0]->type.base, Shape::kRange};
+    if (right.kind == NodeKind::kRange) {
+      for (auto& item : right.children) convert_literal(*item, left.type);
+      right.type = {right.children[0]->type.base, TypeShape::kRange};
     }
-    const bool network = b.type.base == Base::kNetwork;
-    if (network ? a.type != kAddress : b.type.shape == Shape::kOne || b.type.base != a.type.base)
-      return mistake(t);
-    if (a.type == kDouble && b.type.shape == Shape::kList)
-      return fault(t, "doubles are not looked up; write a range");
-    if (a.type == kBool) return mistake(t);
+    const bool is_network = right.type.base == BaseType::kNetwork;
+    if (is_network ? left.type != kAddress
+                   : right.type.shape == TypeShape::kScalar || right.type.base != left.type.base)
+      return report_operand_types(node);
+    if (left.type == kDouble && right.type.shape == TypeShape::kList)
+      return report(node, "'in' does not support a list of double; use a range");
+    if (left.type == kBool) return report_operand_types(node);
   }
 
-  void check_condition(Tree& t) {
-    if (t.args[0]->type != kBool)
-      return fault(*t.args[0], "a bool is expected before ?, this is a " + t.args[0]->type.text());
-    adapt_both(*t.args[1], *t.args[2]);
-    if (t.args[1]->type != t.args[2]->type || t.args[1]->type.shape != Shape::kOne ||
-        t.args[1]->type == kNetwork)
-      return fault(t, "a " + t.args[1]->type.text() + " or a " + t.args[2]->type.text() +
-                          ": both must be of one type");
-    t.type = t.args[1]->type;
-    t.most = std::max(t.args[1]->most, t.args[2]->most);
+  void check_conditional(AstNode& node) {
+    if (node.children[0]->type != kBool)
+      return report(*node.children[0],
+                    "expected type bool before '?', got " + node.children[0]->type.to_string());
+    convert_literals(*node.children[1], *node.children[2]);
+    if (node.children[1]->type != node.children[2]->type ||
+        node.children[1]->type.shape != TypeShape::kScalar || node.children[1]->type == kNetwork)
+      return report(node, "both branches of a conditional must be single values of the same type, got " +
+                              node.children[1]->type.to_string() + " and " +
+                              node.children[2]->type.to_string());
+    node.type = node.children[1]->type;
+    node.max_bytes = std::max(node.children[1]->max_bytes, node.children[2]->max_bytes);
   }
 
-  void check_call(Tree& t) {
-    const auto type = [&](std::size_t i) { return t.args[i]->type; };
-    const auto wrong = [&] { fault(t, std::string("it is called as ") + t.function->signature); };
-    const auto literal = [&](std::size_t i) {
-      return t.args[i]->node == Node::kConstant && type(i) == kString;
+  void check_call(AstNode& node) {
+    const auto type = [&](std::size_t i) { return node.children[i]->type; };
+    const auto report_signature = [&] {
+      report(node, std::string("wrong arguments; expected ") + node.function->signature);
+    };
+    const auto is_string_literal = [&](std::size_t i) {
+      return node.children[i]->kind == NodeKind::kConstant && type(i) == kString;
     };
-    switch (t.function->call) {
-      case Call::kStartsWith:
-      case Call::kEndsWith:
-      case Call::kContains:
-        if (type(0) != kString || type(1) != kString) return wrong();
-        t.type = kBool;
-        return;
-      case Call::kMatches: {
-        if (type(0) != kString || !literal(1)) return wrong();
-        const std::string& pattern = t.args[1]->constant.bytes;
-        if (pattern.size() > limits_.regex)
-          return fault(*t.args[1], "a regular expression of " + std::to_string(pattern.size()) +
-                                       " bytes, at most " + std::to_string(limits_.regex) + " are allowed");
-        re2::RE2::Options o;
-        o.set_log_errors(false);
-        o.set_max_mem(static_cast<std::int64_t>(limits_.regex_memory));
-        const re2::RE2 test(pattern, o);
-        if (!test.ok()) return fault(*t.args[1], "regular expression: " + test.error());
-        t.type = kBool;
+    switch (node.function->id) {
+      case FunctionId::kStartsWith:
+      case FunctionId::kEndsWith:
+      case FunctionId::kContains:
+        if (type(0) != kString || type(1) != kString) return report_signature();
+        node.type = kBool;
+        return;
+      case FunctionId::kMatches: {
+        if (type(0) != kString || !is_string_literal(1)) return report_signature();
+        const std::string& pattern = node.children[1]->constant.bytes;
+        if (pattern.size() > limits_.max_regex_bytes)
+          return report(*node.children[1], "regular expression has " + std::to_string(pattern.size()) +
+                                               " bytes, at most " + std::to_string(limits_.max_regex_bytes) +
+                                               " are allowed");
+        re2::RE2::Options options;
+        options.set_log_errors(false);
+        options.set_max_mem(static_cast<std::int64_t>(limits_.max_regex_memory_bytes));
+        const re2::RE2 regex(pattern, options);
+        if (!regex.ok()) return report(*node.children[1], "invalid regular expression: " + regex.error());
+        node.type = kBool;
         return;
       }
-      case Call::kLower:
-        if (type(0) != kString) return wrong();
-        t.type = kString;
-        t.most = t.args[0]->most;
-        return;
-      case Call::kLength:
-        if (!text(type(0))) return wrong();
-        t.type = kUint;
-        return;
-      case Call::kHash:
-        for (std::size_t i = 0; i < t.args.size(); ++i) {
-          if (type(i).shape != Shape::kOne || type(i) == kNetwork) return wrong();
+      case FunctionId::kLower:
+        if (type(0) != kString) return report_signature();
+        node.type = kString;
+        node.max_bytes = node.children[0]->max_bytes;
+        return;
+      case FunctionId::kByteSize:
+        if (!is_text(type(0))) return report_signature();
+        node.type = kUint;
+        return;
+      case FunctionId::kHash:
+        for (std::size_t i = 0; i < node.children.size(); ++i) {
+          if (type(i).shape != TypeShape::kScalar || type(i) == kNetwork) return report_signature();
         }
-        t.type = kUint;
+        node.type = kUint;
         return;
-      case Call::kMin:
-      case Call::kMax:
-        adapt_both(*t.args[0], *t.args[1]);
-        if (type(0) != type(1) || !ordered(type(0)) || text(type(0)) || type(0) == kAddress) return wrong();
-        t.type = type(0);
+      case FunctionId::kMin:
+      case FunctionId::kMax:
+        convert_literals(*node.children[0], *node.children[1]);
+        if (type(0) != type(1) || !has_order(type(0)) || is_text(type(0)) || type(0) == kAddress)
+          return report_signature();
+        node.type = type(0);
         return;
-      case Call::kAbs:
-        if (type(0) != kInt && type(0) != kDouble && type(0) != kDuration) return wrong();
-        t.type = type(0);
+      case FunctionId::kAbs:
+        if (type(0) != kInt && type(0) != kDouble && type(0) != kDuration) return report_signature();
+        node.type = type(0);
         return;
-      case Call::kToInt:
+      case FunctionId::kToInt:
         if (type(0) != kUint && type(0) != kDouble && type(0) != kSize && type(0) != kDuration)
-          return wrong();
-        t.type = kInt;
-        return;
-      case Call::kToUint:
-        if (type(0) != kInt && type(0) != kDouble && type(0) != kSize) return wrong();
-        t.type = kUint;
-        return;
-      case Call::kToDouble:
-        if (!whole(type(0))) return wrong();
-        t.type = kDouble;
-        return;
-      case Call::kSeconds:
-        if (type(0) != kDuration) return wrong();
-        t.type = kDouble;
-        return;
-      case Call::kToAddress:
-      case Call::kToNetwork: {
-        if (!literal(0)) return wrong();
-        Constant c;
-        const std::string& source = t.args[0]->constant.bytes;
-        if (t.function->call == Call::kToAddress) {
-          const auto a = parse_address(source);
-          if (!a) return fault(*t.args[0], "'" + source + "' is no address");
-          c.type = kAddress;
-          c.value = Value(*a);
+          return report_signature();
+        node.type = kInt;
+        return;
+      case FunctionId::kToUint:
+        if (type(0) != kInt && type(0) != kDouble && type(0) != kSize) return report_signature();
+        node.type = kUint;
+        return;
+      case FunctionId::kToDouble:
+        if (!is_integer(type(0))) return report_signature();
+        node.type = kDouble;
+        return;
+      case FunctionId::kSeconds:
+        if (type(0) != kDuration) return report_signature();
+        node.type = kDouble;
+        return;
+      case FunctionId::kToAddress:
+      case FunctionId::kToNetwork: {
+        if (!is_string_literal(0)) return report_signature();
+        Constant constant;
+        const std::string& source = node.children[0]->constant.bytes;
+        if (node.function->id == FunctionId::kToAddress) {
+          const auto address = parse_address(source);
+          if (!address) return report(*node.children[0], "invalid address '" + source + "'");
+          constant.type = kAddress;
+          constant.value = Value(*address);
         } else {
-          const auto n = parse_network(source);
-          if (!n) return fault(*t.args[0], "'" + source + "' is no network, or has bits beyond its prefix");
-          c.type = kNetwork;
-          c.value = Value(n->first);
-          c.prefix = n->second;
+          const auto network = parse_network(source);
+          if (!network)
+            return report(
+                *node.children[0],
+                "invalid network '" + source + "'; expected a prefix without host bits, such as 10.0.0.0/8");
+          constant.type = kNetwork;
+          constant.value = Value(network->first);
+          constant.prefix_length = network->second;
         }
-        t.node = Node::kConstant;
-        t.constant = std::move(c);
-        t.type = t.constant.type;
-        t.args.clear();
+        node.kind = NodeKind::kConstant;
+        node.constant = std::move(constant);
+        node.type = node.constant.type;
+        node.children.clear();
         return;
       }
     }
   }
 
-  // What stands on literals alone is computed now, by the same machine; what fails now would fail always.
-  void fold(Tree& t) {
-    if (folding_ || t.node == Node::kConstant) return;
-    const auto literal = [](const std::unique_ptr<Tree>& a) {
-      return a->node == Node::kConstant ||
-             (!a->args.empty() && (a->node == Node::kList || a->node == Node::kRange));
+  // Replaces an expression of constants by its value. One that fails would fail on every evaluation and is an
+  // error.
+  void fold(AstNode& node) {
+    if (is_folding_ || node.kind == NodeKind::kConstant) return;
+    const auto is_constant = [](const std::unique_ptr<AstNode>& child) {
+      return child->kind == NodeKind::kConstant ||
+             (!child->children.empty() &&
+              (child->kind == NodeKind::kList || child->kind == NodeKind::kRange));
     };
-    if (!std::all_of(t.args.begin(), t.args.end(), literal)) return;
-    Compiler inner(sets_, limits_, faults_, true);
-    const Type type = t.type;
-    const auto program = inner.run(t, std::nullopt);
+    if (!std::all_of(node.children.begin(), node.children.end(), is_constant)) return;
+    Compiler compiler(network_sets_, limits_, diagnostics_, true);
+    const Type type = node.type;
+    const auto program = compiler.run(node, std::nullopt);
     if (!program) return;
     Machine machine;
-    Value v;
-    const Failure failure = machine.run(*program, Record{}, v);
-    if (failure != Failure::kNone) return fault(t, std::string("a constant with an error: ") + name(failure));
-    Constant c;
-    c.type = type;
-    if (text(type)) c.bytes.assign(v.s.data, v.s.size);
-    else c.value = v;
-    t.node = Node::kConstant;
-    t.text.clear();
-    t.function = nullptr;
-    t.args.clear();
-    t.constant = std::move(c);
+    Value value;
+    const Failure failure = machine.run(*program, Record{}, value);
+    if (failure != Failure::kNone)
+      return report(node, std::string("constant expression fails: ") + to_string(failure));
+    Constant constant;
+    constant.type = type;
+    if (is_text(type)) constant.bytes.assign(value.as_text.data, value.as_text.size);
+    else constant.value = value;
+    node.kind = NodeKind::kConstant;
+    node.name.clear();
+    node.function = nullptr;
+    node.children.clear();
+    node.constant = std::move(constant);
   }
 
-  // ---- Code ----
+  // ---- Code generation ----
 
-  std::uint8_t reg(std::size_t depth, const Tree& t) {
-    if (depth >= limits_.registers) {
-      if (!full_) fault(t, "more than " + std::to_string(limits_.registers) + " values at a time");
-      full_ = true;
+  // Reserves register `depth`. Lower registers hold values that are still needed.
+  std::uint8_t use_register(std::size_t depth, const AstNode& node) {
+    if (depth >= limits_.max_registers) {
+      if (!operand_limit_exceeded_)
+        report(node, "expression needs more than " + std::to_string(limits_.max_registers) + " registers");
+      operand_limit_exceeded_ = true;
       return 0;
     }
-    p_.registers = std::max(p_.registers, depth + 1);
+    program_.register_count = std::max(program_.register_count, depth + 1);
     return static_cast<std::uint8_t>(depth);
   }
 
-  std::size_t put(Code code, std::uint8_t to, Operand a = 0, Operand b = 0, std::size_t index = 0,
-                  std::size_t bytes = 0) {
-    p_.code.push_back({code, to, a, b, static_cast<std::uint32_t>(index)});
-    p_.cost += steps(code, bytes);
-    return p_.code.size() - 1;
+  // Returns the index of the instruction. `bytes`: upper bound of the strings that it processes.
+  std::size_t append(Opcode opcode, std::uint8_t destination, Operand left = 0, Operand right = 0,
+                     std::size_t immediate = 0, std::size_t bytes = 0) {
+    program_.instructions.push_back(
+        {opcode, destination, left, right, static_cast<std::uint32_t>(immediate)});
+    program_.max_steps += instruction_steps(opcode, bytes);
+    return program_.instructions.size() - 1;
   }
-  void land(std::size_t jump) { p_.code[jump].index = static_cast<std::uint32_t>(p_.code.size()); }
-
-  // Where the value of a part is found: where it stands already, or in register `depth` once its code has
-  // run.
-  Operand value(Tree& t, std::size_t depth) {
-    if (t.node == Node::kConstant) {
-      if (p_.constants.size() >= kIndexMask) {
-        if (!full_) fault(t, "more than " + std::to_string(kIndexMask) + " constants");
-        full_ = true;
+  // Lets the instruction at index `jump` jump to the next instruction to be appended.
+  void set_jump_target(std::size_t jump) {
+    program_.instructions[jump].immediate = static_cast<std::uint32_t>(program_.instructions.size());
+  }
+
+  // The operand that holds the value of `node`. Constants, fields and names of a let are read in place; other
+  // nodes are evaluated into register `depth`.
+  Operand value(AstNode& node, std::size_t depth) {
+    if (node.kind == NodeKind::kConstant) {
+      if (program_.constants.size() >= kOperandIndexMask) {
+        if (!operand_limit_exceeded_)
+          report(node, "expression has more than " + std::to_string(kOperandIndexMask) + " constants");
+        operand_limit_exceeded_ = true;
         return 0;
       }
-      p_.constants.push_back(t.constant);
-      return operand(Home::kConstant, p_.constants.size() - 1);
+      program_.constants.push_back(node.constant);
+      return make_operand(OperandKind::kConstant, program_.constants.size() - 1);
     }
-    if (t.node == Node::kField) {
-      p_.stable = p_.stable && fields()[static_cast<std::size_t>(t.field)].stable;
-      return operand(Home::kField, static_cast<std::size_t>(t.field));
+    if (node.kind == NodeKind::kField) {
+      program_.stable_across_retries = program_.stable_across_retries &&
+                                       fields()[static_cast<std::size_t>(node.field)].stable_across_retries;
+      return make_operand(OperandKind::kField, static_cast<std::size_t>(node.field));
     }
-    if (t.node == Node::kName) return lets_at_[static_cast<std::size_t>(t.slot)];
-    emit(t, depth);
-    return operand(Home::kRegister, depth);
+    if (node.kind == NodeKind::kIdentifier) return let_operands_[static_cast<std::size_t>(node.let_index)];
+    emit(node, depth);
+    return make_operand(OperandKind::kRegister, depth);
   }
 
-  // Into register `depth`.
-  void emit(Tree& t, std::size_t depth) {
-    const std::uint8_t to = reg(depth, t);
-    if (full_) return;
-    switch (t.node) {
-      case Node::kConstant:
-      case Node::kField:
-      case Node::kName:
-        put(Code::kMove, to, value(t, depth));
-        return;
-      case Node::kLet: {
-        const Operand named = value(*t.args[0], depth);
-        lets_at_.push_back(named);
-        const bool here = named == operand(Home::kRegister, depth);
-        const Operand body = here ? value(*t.args[1], depth + 1) : to;
-        if (!here) emit(*t.args[1], depth);
-        lets_at_.pop_back();
-        if (here) put(Code::kMove, to, body);
+  // Appends code that evaluates `node` into register `depth` and does not change lower registers.
+  void emit(AstNode& node, std::size_t depth) {
+    const std::uint8_t destination = use_register(depth, node);
+    if (operand_limit_exceeded_) return;
+    switch (node.kind) {
+      case NodeKind::kConstant:
+      case NodeKind::kField:
+      case NodeKind::kIdentifier:
+        append(Opcode::kMove, destination, value(node, depth));
+        return;
+      case NodeKind::kLet: {
+        const Operand let_value = value(*node.children[0], depth);
+        let_operands_.push_back(let_value);
+        const bool in_register = let_value == make_operand(OperandKind::kRegister, depth);
+        const Operand body = in_register ? value(*node.children[1], depth + 1) : destination;
+        if (!in_register) emit(*node.children[1], depth);
+        let_operands_.pop_back();
+        if (in_register) append(Opcode::kMove, destination, body);
         return;
       }
-      case Node::kUnary:
-        put(t.op == Op::kNot    ? Code::kNot
-            : t.type == kDouble ? Code::kNegateDouble
-                                : Code::kNegateInt,
-            to, value(*t.args[0], depth));
-        return;
-      case Node::kBinary:
-        return emit_binary(t, depth, to);
-      case Node::kCondition: {
-        const auto no = put(Code::kJumpIfFalse, 0, value(*t.args[0], depth));
-        emit(*t.args[1], depth);
-        const auto out = put(Code::kJump, 0);
-        land(no);
-        emit(*t.args[2], depth);
-        land(out);
+      case NodeKind::kUnary:
+        append(node.op == Operator::kNot ? Opcode::kNot
+               : node.type == kDouble    ? Opcode::kNegateDouble
+                                         : Opcode::kNegateInt,
+               destination, value(*node.children[0], depth));
+        return;
+      case NodeKind::kBinary:
+        return emit_binary(node, depth, destination);
+      case NodeKind::kConditional: {
+        const auto jump_to_else = append(Opcode::kJumpIfFalse, 0, value(*node.children[0], depth));
+        emit(*node.children[1], depth);
+        const auto jump_to_end = append(Opcode::kJump, 0);
+        set_jump_target(jump_to_else);
+        emit(*node.children[2], depth);
+        set_jump_target(jump_to_end);
         return;
       }
-      case Node::kCall:
-        return emit_call(t, depth, to);
+      case NodeKind::kCall:
+        return emit_call(node, depth, destination);
       default:
-        return;  // sets, lists and ranges are part of `in`
+        return;  // network sets, lists and ranges are operands of `in` only
     }
   }
 
-  void emit_binary(Tree& t, std::size_t depth, std::uint8_t to) {
-    Tree& a = *t.args[0];
-    Tree& b = *t.args[1];
-    if (t.op == Op::kOr || t.op == Op::kAnd) {
-      emit(a, depth);
-      const auto done = put(t.op == Op::kOr ? Code::kJumpIfTrue : Code::kJumpIfFalse, 0, to);
-      emit(b, depth);
-      land(done);
+  void emit_binary(AstNode& node, std::size_t depth, std::uint8_t destination) {
+    AstNode& left = *node.children[0];
+    AstNode& right = *node.children[1];
+    if (node.op == Operator::kOr || node.op == Operator::kAnd) {
+      emit(left, depth);
+      const auto short_circuit =
+          append(node.op == Operator::kOr ? Opcode::kJumpIfTrue : Opcode::kJumpIfFalse, 0, destination);
+      emit(right, depth);
+      set_jump_target(short_circuit);
       return;
     }
-    if (t.op == Op::kIn) return emit_in(t, depth, to);
-    const Operand ra = value(a, depth);
-    const Operand rb = value(b, ra == operand(Home::kRegister, depth) ? depth + 1 : depth);
-    const Type type = a.type;
-    const std::size_t bytes = a.most + b.most;
-    const auto pick = [&](Code i, Code u, Code d) { return type == kDouble ? d : signed_word(type) ? i : u; };
-    switch (t.op) {
-      case Op::kAdd:
-        if (text(type)) {
-          p_.scratch += t.most;
-          put(Code::kJoin, to, ra, rb, 0, bytes);
+    if (node.op == Operator::kIn) return emit_in(node, depth, destination);
+    const Operand left_operand = value(left, depth);
+    const Operand right_operand =
+        value(right, left_operand == make_operand(OperandKind::kRegister, depth) ? depth + 1 : depth);
+    const Type type = left.type;
+    const std::size_t bytes = left.max_bytes + right.max_bytes;
+    const auto opcode_for_type = [&](Opcode for_signed, Opcode for_unsigned, Opcode for_double) {
+      return type == kDouble ? for_double : is_signed_word(type) ? for_signed : for_unsigned;
+    };
+    switch (node.op) {
+      case Operator::kAdd:
+        if (is_text(type)) {
+          program_.scratch_bytes += node.max_bytes;
+          append(Opcode::kJoin, destination, left_operand, right_operand, 0, bytes);
         } else {
-          put(pick(Code::kAddInt, Code::kAddUint, Code::kAddDouble), to, ra, rb);
+          append(opcode_for_type(Opcode::kAddInt, Opcode::kAddUint, Opcode::kAddDouble), destination,
+                 left_operand, right_operand);
         }
         return;
-      case Op::kSubtract:
-        put(pick(Code::kSubtractInt, Code::kSubtractUint, Code::kSubtractDouble), to, ra, rb);
+      case Operator::kSubtract:
+        append(opcode_for_type(Opcode::kSubtractInt, Opcode::kSubtractUint, Opcode::kSubtractDouble),
+               destination, left_operand, right_operand);
         return;
-      case Op::kMultiply:
-        put(pick(Code::kMultiplyInt, Code::kMultiplyUint, Code::kMultiplyDouble), to, ra, rb);
+      case Operator::kMultiply:
+        append(opcode_for_type(Opcode::kMultiplyInt, Opcode::kMultiplyUint, Opcode::kMultiplyDouble),
+               destination, left_operand, right_operand);
         return;
-      case Op::kDivide:
-        put(pick(Code::kDivideInt, Code::kDivideUint, Code::kDivideDouble), to, ra, rb);
+      case Operator::kDivide:
+        append(opcode_for_type(Opcode::kDivideInt, Opcode::kDivideUint, Opcode::kDivideDouble), destination,
+               left_operand, right_operand);
         return;
-      case Op::kRemainder:
-        put(pick(Code::kRemainderInt, Code::kRemainderUint, Code::kRemainderUint), to, ra, rb);
+      case Operator::kRemainder:
+        append(opcode_for_type(Opcode::kRemainderInt, Opcode::kRemainderUint, Opcode::kRemainderUint),
+               destination, left_operand, right_operand);
         return;
       default:
         break;
     }
-    const Code less = text(type)         ? Code::kLessText
-                      : type == kAddress ? Code::kLessAddress
-                                         : pick(Code::kLessInt, Code::kLessUint, Code::kLessDouble);
-    const Code equal = text(type)         ? Code::kEqualText
-                       : type == kAddress ? Code::kEqualAddress
-                       : type == kDouble  ? Code::kEqualDouble
-                                          : Code::kEqualWord;
-    switch (t.op) {
-      case Op::kEqual:
-        put(equal, to, ra, rb, 0, bytes);
-        return;
-      case Op::kUnequal:
-        put(equal, to, ra, rb, 0, bytes);
+    const Opcode less = is_text(type) ? Opcode::kLessText
+                        : type == kAddress
+                            ? Opcode::kLessAddress
+                            : opcode_for_type(Opcode::kLessInt, Opcode::kLessUint, Opcode::kLessDouble);
+    const Opcode equal = is_text(type)      ? Opcode::kEqualText
+                         : type == kAddress ? Opcode::kEqualAddress
+                         : type == kDouble  ? Opcode::kEqualDouble
+                                            : Opcode::kEqualWord;
+    switch (node.op) {
+      case Operator::kEqual:
+        append(equal, destination, left_operand, right_operand, 0, bytes);
+        return;
+      case Operator::kNotEqual:
+        append(equal, destination, left_operand, right_operand, 0, bytes);
         break;
-      case Op::kLess:
-        put(less, to, ra, rb, 0, bytes);
+      case Operator::kLess:
+        append(less, destination, left_operand, right_operand, 0, bytes);
         return;
-      case Op::kGreater:
-        put(less, to, rb, ra, 0, bytes);
+      case Operator::kGreater:
+        append(less, destination, right_operand, left_operand, 0, bytes);
         return;
-      case Op::kAtMost:
-        put(less, to, rb, ra, 0, bytes);
+      case Operator::kLessOrEqual:
+        append(less, destination, right_operand, left_operand, 0, bytes);
         break;
-      case Op::kAtLeast:
-        put(less, to, ra, rb, 0, bytes);
+      case Operator::kGreaterOrEqual:
+        append(less, destination, left_operand, right_operand, 0, bytes);
         break;
       default:
         return;
     }
-    put(Code::kNot, to, to);
+    append(Opcode::kNot, destination, destination);
   }
 
-  void emit_in(Tree& t, std::size_t depth, std::uint8_t to) {
-    Tree& a = *t.args[0];
-    Tree& b = *t.args[1];
-    if (b.type.shape == Shape::kRange) {
-      // Not under the first and not over the second.
-      const Code less = signed_word(a.type)     ? Code::kLessInt
-                        : unsigned_word(a.type) ? Code::kLessUint
-                        : a.type == kDouble     ? Code::kLessDouble
-                                                : Code::kLessAddress;
-      const std::uint8_t out = reg(depth + 2, t);
-      const Operand it = value(a, depth);
-      put(less, out, it, value(*b.args[0], depth + 1));
-      const auto under = put(Code::kJumpIfTrue, 0, out);
-      put(less, out, value(*b.args[1], depth + 1), it);
-      land(under);
-      put(Code::kNot, to, out);
+  void emit_in(AstNode& node, std::size_t depth, std::uint8_t destination) {
+    AstNode& left = *node.children[0];
+    AstNode& right = *node.children[1];
+    if (right.type.shape == TypeShape::kRange) {
+      // Not below the lower bound and not above the upper one.
+      const Opcode less = is_signed_word(left.type)     ? Opcode::kLessInt
+                          : is_unsigned_word(left.type) ? Opcode::kLessUint
+                          : left.type == kDouble        ? Opcode::kLessDouble
+                                                        : Opcode::kLessAddress;
+      const std::uint8_t outside = use_register(depth + 2, node);
+      const Operand value_operand = value(left, depth);
+      append(less, outside, value_operand, value(*right.children[0], depth + 1));
+      const auto below = append(Opcode::kJumpIfTrue, 0, outside);
+      append(less, outside, value(*right.children[1], depth + 1), value_operand);
+      set_jump_target(below);
+      append(Opcode::kNot, destination, outside);
       return;
     }
-    const Operand it = value(a, depth);
-    if (b.type.base == Base::kNetwork) {
-      if (b.node == Node::kSet) {
-        p_.networks.push_back(&sets_.at(b.text));
+    const Operand value_operand = value(left, depth);
+    if (right.type.base == BaseType::kNetwork) {
+      if (right.kind == NodeKind::kNetworkSet) {
+        program_.network_sets.push_back(&network_sets_.at(right.name));
       } else {
         std::vector<std::string> entries;
-        const auto bare = [](const Constant& c) {
-          const std::string s = c.text();
-          return s.substr(5, s.size() - 7);
+        const auto strip_net = [](const Constant& network) {
+          const std::string source = network.to_source();  // net("10.0.0.0/8")
+          return source.substr(5, source.size() - 7);
         };
-        if (b.node == Node::kConstant) entries.push_back(bare(b.constant));
-        for (const auto& i : b.args) entries.push_back(bare(i->constant));
-        Networks n;
-        std::string reason;
-        Networks::make(entries, n, reason);
-        p_.own_networks.push_back(std::move(n));
-        p_.networks.push_back(nullptr);  // the next of its own
+        if (right.kind == NodeKind::kConstant) entries.push_back(strip_net(right.constant));
+        for (const auto& item : right.children) entries.push_back(strip_net(item->constant));
+        NetworkSet set;
+        std::string error;
+        NetworkSet::parse(entries, set, error);
+        program_.literal_network_sets.push_back(std::move(set));
+        program_.network_sets.push_back(nullptr);  // run() sets it to the literal set
       }
-      put(Code::kInNetworks, to, it, 0, p_.networks.size() - 1,
-          16 * (1 + static_cast<std::size_t>(
-                        std::log2(1.0 + static_cast<double>(b.node == Node::kSet ? sets_.at(b.text).ranges()
-                                                                                 : b.args.size())))));
+      // The lookup is a binary search that compares 16 bytes each time.
+      append(Opcode::kInNetworks, destination, value_operand, 0, program_.network_sets.size() - 1,
+             16 * (1 + static_cast<std::size_t>(std::log2(
+                           1.0 + static_cast<double>(right.kind == NodeKind::kNetworkSet
+                                                         ? network_sets_.at(right.name).range_count()
+                                                         : right.children.size())))));
       return;
     }
-    if (text(a.type)) {
-      Texts set;
-      for (const auto& i : b.args) set.insert(i->constant.bytes);
-      p_.texts.push_back(std::move(set));
-      put(Code::kInTexts, to, it, 0, p_.texts.size() - 1, a.most);
+    if (is_text(left.type)) {
+      StringSet set;
+      for (const auto& item : right.children) set.insert(item->constant.bytes);
+      program_.text_sets.push_back(std::move(set));
+      append(Opcode::kInTexts, destination, value_operand, 0, program_.text_sets.size() - 1, left.max_bytes);
       return;
     }
-    if (a.type == kAddress) {  // few: one network each
+    if (left.type == kAddress) {  // a set of single addresses
       std::vector<std::string> entries;
-      for (const auto& i : b.args) {
-        const std::string s = i->constant.text();
-        entries.push_back(s.substr(4, s.size() - 6));
+      for (const auto& item : right.children) {
+        const std::string source = item->constant.to_source();  // ip("10.0.0.1")
+        entries.push_back(source.substr(4, source.size() - 6));
       }
-      Networks n;
-      std::string reason;
-      Networks::make(entries, n, reason);
-      p_.own_networks.push_back(std::move(n));
-      p_.networks.push_back(nullptr);
-      put(Code::kInNetworks, to, it, 0, p_.networks.size() - 1, 64);
+      NetworkSet set;
+      std::string error;
+      NetworkSet::parse(entries, set, error);
+      program_.literal_network_sets.push_back(std::move(set));
+      program_.network_sets.push_back(nullptr);
+      append(Opcode::kInNetworks, destination, value_operand, 0, program_.network_sets.size() - 1, 64);
       return;
     }
     std::unordered_set<std::uint64_t> set;
-    for (const auto& i : b.args) set.insert(i->constant.value.u);
-    p_.words.push_back(std::move(set));
-    put(Code::kInWords, to, it, 0, p_.words.size() - 1);
+    for (const auto& item : right.children) set.insert(item->constant.value.as_uint);
+    program_.word_sets.push_back(std::move(set));
+    append(Opcode::kInWords, destination, value_operand, 0, program_.word_sets.size() - 1);
   }
 
-  void emit_call(Tree& t, std::size_t depth, std::uint8_t to) {
-    const std::size_t count = t.function->call == Call::kMatches ? 1 : t.args.size();
+  void emit_call(AstNode& node, std::size_t depth, std::uint8_t destination) {
+    const std::size_t count = node.function->id == FunctionId::kMatches ? 1 : node.children.size();
     std::size_t bytes = 0;
-    const bool in_a_row = t.function->call == Call::kHash;  // its arguments stand in registers side by side
-    Operand ra = to;
-    Operand rb = 0;
+    // hash() reads its arguments from consecutive registers.
+    const bool consecutive = node.function->id == FunctionId::kHash;
+    Operand left_operand = destination;
+    Operand right_operand = 0;
     for (std::size_t i = 0; i < count; ++i) {
-      if (in_a_row) emit(*t.args[i], depth + i);
-      else (i == 0 ? ra : rb) = value(*t.args[i], depth + i);
-      bytes += t.args[i]->most;
+      if (consecutive) emit(*node.children[i], depth + i);
+      else (i == 0 ? left_operand : right_operand) = value(*node.children[i], depth + i);
+      bytes += node.children[i]->max_bytes;
     }
-    const Type type = t.args[0]->type;
-    switch (t.function->call) {
-      case Call::kStartsWith:
-        put(Code::kStartsWith, to, ra, rb, 0, bytes);
+    const Type type = node.children[0]->type;
+    switch (node.function->id) {
+      case FunctionId::kStartsWith:
+        append(Opcode::kStartsWith, destination, left_operand, right_operand, 0, bytes);
         return;
-      case Call::kEndsWith:
-        put(Code::kEndsWith, to, ra, rb, 0, bytes);
+      case FunctionId::kEndsWith:
+        append(Opcode::kEndsWith, destination, left_operand, right_operand, 0, bytes);
         return;
-      case Call::kContains:
-        put(Code::kContains, to, ra, rb, 0, 4 * bytes);
+      case FunctionId::kContains:
+        append(Opcode::kContains, destination, left_operand, right_operand, 0, 4 * bytes);
         return;
-      case Call::kMatches: {
-        re2::RE2::Options o;
-        o.set_log_errors(false);
-        o.set_max_mem(static_cast<std::int64_t>(limits_.regex_memory));
-        p_.expressions.push_back(std::make_unique<re2::RE2>(t.args[1]->constant.bytes, o));
-        put(Code::kMatches, to, ra, 0, p_.expressions.size() - 1,
-            8 * bytes + t.args[1]->constant.bytes.size());
+      case FunctionId::kMatches: {
+        re2::RE2::Options options;
+        options.set_log_errors(false);
+        options.set_max_mem(static_cast<std::int64_t>(limits_.max_regex_memory_bytes));
+        program_.regexes.push_back(std::make_unique<re2::RE2>(node.children[1]->constant.bytes, options));
+        append(Opcode::kMatches, destination, left_operand, 0, program_.regexes.size() - 1,
+               8 * bytes + node.children[1]->constant.bytes.size());
         return;
       }
-      case Call::kLower:
-        p_.scratch += t.most;
-        put(Code::kLower, to, ra, 0, 0, bytes);
+      case FunctionId::kLower:
+        program_.scratch_bytes += node.max_bytes;
+        append(Opcode::kLower, destination, left_operand, 0, 0, bytes);
         return;
-      case Call::kLength:
-        put(Code::kLength, to, ra);
+      case FunctionId::kByteSize:
+        append(Opcode::kByteSize, destination, left_operand);
         return;
-      case Call::kHash: {
+      case FunctionId::kHash: {
         std::vector<Type> types;
-        for (const auto& a : t.args) types.push_back(a->type);
-        p_.hashed.push_back(std::move(types));
-        put(Code::kHash, to, ra, 0, p_.hashed.size() - 1, bytes + 16 * count);
+        for (const auto& argument : node.children) types.push_back(argument->type);
+        program_.hash_argument_types.push_back(std::move(types));
+        append(Opcode::kHash, destination, left_operand, 0, program_.hash_argument_types.size() - 1,
+               bytes + 16 * count);
         return;
       }
-      case Call::kMin:
-      case Call::kMax: {
-        const Code least = type == kDouble     ? Code::kMinDouble
-                           : signed_word(type) ? Code::kMinInt
-                                               : Code::kMinUint;
-        put(least, to, ra, rb, t.function->call == Call::kMax ? 1 : 0);
+      case FunctionId::kMin:
+      case FunctionId::kMax: {
+        const Opcode opcode = type == kDouble        ? Opcode::kMinDouble
+                              : is_signed_word(type) ? Opcode::kMinInt
+                                                     : Opcode::kMinUint;
+        append(opcode, destination, left_operand, right_operand,
+               node.function->id == FunctionId::kMax ? 1 : 0);
         return;
       }
-      case Call::kAbs:
-        put(type == kDouble ? Code::kAbsDouble : Code::kAbsInt, to, ra);
+      case FunctionId::kAbs:
+        append(type == kDouble ? Opcode::kAbsDouble : Opcode::kAbsInt, destination, left_operand);
         return;
-      case Call::kToInt:
-        if (type == kDuration) return put(Code::kMove, to, ra), void();  // nanoseconds already
-        put(type == kDouble ? Code::kIntFromDouble : Code::kIntFromUint, to, ra);
+      case FunctionId::kToInt:
+        if (type == kDuration)
+          return append(Opcode::kMove, destination, left_operand), void();  // is stored in nanoseconds
+        append(type == kDouble ? Opcode::kIntFromDouble : Opcode::kIntFromUint, destination, left_operand);
         return;
-      case Call::kToUint:
-        if (type == kSize) return put(Code::kMove, to, ra), void();
-        put(type == kDouble ? Code::kUintFromDouble : Code::kUintFromInt, to, ra);
+      case FunctionId::kToUint:
+        if (type == kSize) return append(Opcode::kMove, destination, left_operand), void();
+        append(type == kDouble ? Opcode::kUintFromDouble : Opcode::kUintFromInt, destination, left_operand);
         return;
-      case Call::kToDouble:
-        put(type == kInt ? Code::kDoubleFromInt : Code::kDoubleFromUint, to, ra);
+      case FunctionId::kToDouble:
+        append(type == kInt ? Opcode::kDoubleFromInt : Opcode::kDoubleFromUint, destination, left_operand);
         return;
-      case Call::kSeconds:
-        put(Code::kSeconds, to, ra);
+      case FunctionId::kSeconds:
+        append(Opcode::kSeconds, destination, left_operand);
         return;
       default:
         return;
     }
   }
 
-  const NetworkSets& sets_;
+  const NetworkSets& network_sets_;
   const Limits& limits_;
-  std::vector<Fault>& faults_;
-  const bool folding_;
-  std::vector<Tree*> lets_;
-  std::vector<Operand> lets_at_;
-  bool full_ = false;
-  Program p_;
+  std::vector<Diagnostic>& diagnostics_;
+  const bool is_folding_;
+  std::vector<AstNode*> lets_;
+  std::vector<Operand> let_operands_;
+  bool operand_limit_exceeded_ = false;
+  Program program_;
 };
 
 }  // namespace
 
-std::optional<Program> compile(Tree& tree, const NetworkSets& sets, const Limits& limits,
-                               std::optional<Type> wanted, std::vector<Fault>& faults) {
-  auto p = Compiler(sets, limits, faults, false).run(tree, wanted);
-  if (!p) return p;
-  if (const std::string why = verify(*p); !why.empty()) {
-    faults.push_back({{}, "the program is not sound: " + why});
+std::optional<Program> compile(AstNode& tree, const NetworkSets& network_sets, const Limits& limits,
+                               std::optional<Type> required_type, std::vector<Diagnostic>& diagnostics) {
+  auto program = Compiler(network_sets, limits, diagnostics, false).run(tree, required_type);
+  if (!program) return program;
+  if (const std::string problem = verify(*program); !problem.empty()) {
+    diagnostics.push_back({{}, "internal error: compiled program failed verification: " + problem});
     return std::nullopt;
   }
-  return p;
+  return program;
 }
 
-std::optional<Program> compile(std::string_view source, const NetworkSets& sets, const Limits& limits,
-                               std::optional<Type> wanted, std::vector<Fault>& faults) {
-  const auto tree = parse(source, limits, faults);
-  return tree ? compile(*tree, sets, limits, wanted, faults) : std::nullopt;
+std::optional<Program> compile(std::string_view source, const NetworkSets& network_sets, const Limits& limits,
+                               std::optional<Type> required_type, std::vector<Diagnostic>& diagnostics) {
+  const auto tree = parse(source, limits, diagnostics);
+  return tree ? compile(*tree, network_sets, limits, required_type, diagnostics) : std::nullopt;
 }
 
-// Every way that the jumps leave open is followed: what an instruction reads is written on all of them.
-std::string verify(const Program& p) {
+// Tracks which registers are written on every path to an instruction. Since jumps go forward only, one pass
+// in order of the instructions is enough.
+std::string verify(const Program& program) {
   using Written = std::bitset<256>;
-  if (std::count(p.networks.begin(), p.networks.end(), nullptr) > 0) return "networks that are not there";
-  if (p.registers == 0 || p.registers > 256) return "registers";
-  if (p.values.size() != p.constants.size()) return "constants without values";
-  std::vector<std::optional<Written>> before(p.code.size() + 1);
-  before[0].emplace();
-  const auto lead = [&](std::size_t to, const Written& w) { before[to] = before[to] ? *before[to] & w : w; };
-  for (std::size_t i = 0; i < p.code.size(); ++i) {
-    if (!before[i]) continue;  // no way leads here
-    Written written = *before[i];
-    const Instruction& in = p.code[i];
-    const auto at = " at " + std::to_string(i);
-    const auto read = [&](Operand o) {
-      const std::size_t index = o & kIndexMask;
-      switch (static_cast<Home>(o >> kHomeShift)) {
-        case Home::kRegister:
-          return index < p.registers && written[index];
-        case Home::kConstant:
-          return index < p.constants.size();
-        case Home::kField:
-          return index < kFields;
+  if (std::count(program.network_sets.begin(), program.network_sets.end(), nullptr) > 0)
+    return "unresolved network set";
+  if (program.register_count == 0 || program.register_count > 256) return "invalid number of registers";
+  if (program.constant_values.size() != program.constants.size()) return "constant without a value";
+  std::vector<std::optional<Written>> written_before(program.instructions.size() + 1);
+  written_before[0].emplace();
+  const auto propagate = [&](std::size_t next, const Written& written) {
+    written_before[next] = written_before[next] ? *written_before[next] & written : written;
+  };
+  for (std::size_t i = 0; i < program.instructions.size(); ++i) {
+    if (!written_before[i]) continue;  // unreachable
+    Written written = *written_before[i];
+    const Instruction& instruction = program.instructions[i];
+    const auto at = " at instruction " + std::to_string(i);
+    const auto is_defined = [&](Operand operand) {
+      const std::size_t index = operand & kOperandIndexMask;
+      switch (static_cast<OperandKind>(operand >> kOperandKindShift)) {
+        case OperandKind::kRegister:
+          return index < program.register_count && written[index];
+        case OperandKind::kConstant:
+          return index < program.constants.size();
+        case OperandKind::kField:
+          return index < kFieldCount;
       }
       return false;
     };
-    if (in.code > Code::kSeconds) return "an unknown instruction" + at;
-    if (jumps(in.code) && (in.index <= i || in.index > p.code.size()))
-      return "a jump that is not forward" + at;
-    if (in.code == Code::kInWords      ? in.index >= p.words.size()
-        : in.code == Code::kInTexts    ? in.index >= p.texts.size()
-        : in.code == Code::kInNetworks ? in.index >= p.networks.size()
-        : in.code == Code::kMatches    ? in.index >= p.expressions.size()
-        : in.code == Code::kHash       ? in.index >= p.hashed.size()
-                                       : false)
-      return "an index out of range" + at;
-    if (in.code == Code::kHash) {
-      for (std::size_t k = 0; k < p.hashed[in.index].size(); ++k) {
-        if (in.a + k >= p.registers || !written[in.a + k]) return "a value read that is not there" + at;
+    if (instruction.opcode > Opcode::kSeconds) return "unknown opcode" + at;
+    if (is_jump(instruction.opcode) &&
+        (instruction.immediate <= i || instruction.immediate > program.instructions.size()))
+      return "jump that does not go forward" + at;
+    if (instruction.opcode == Opcode::kInWords      ? instruction.immediate >= program.word_sets.size()
+        : instruction.opcode == Opcode::kInTexts    ? instruction.immediate >= program.text_sets.size()
+        : instruction.opcode == Opcode::kInNetworks ? instruction.immediate >= program.network_sets.size()
+        : instruction.opcode == Opcode::kMatches    ? instruction.immediate >= program.regexes.size()
+        : instruction.opcode == Opcode::kHash ? instruction.immediate >= program.hash_argument_types.size()
+                                              : false)
+      return "table index out of range" + at;
+    if (instruction.opcode == Opcode::kHash) {
+      for (std::size_t k = 0; k < program.hash_argument_types[instruction.immediate].size(); ++k) {
+        if (instruction.left + k >= program.register_count || !written[instruction.left + k])
+          return "read of an undefined operand" + at;
       }
-    } else if (in.code != Code::kJump && (!read(in.a) || (reads_two(in.code) && !read(in.b)))) {
-      return "a value read that is not there" + at;
+    } else if (instruction.opcode != Opcode::kJump &&
+               (!is_defined(instruction.left) ||
+                (has_two_operands(instruction.opcode) && !is_defined(instruction.right)))) {
+      return "read of an undefined operand" + at;
     }
-    // The machine looks at both, whether it needs them or not.
-    const auto inside = [&](Operand o) {
-      const std::size_t index = o & kIndexMask;
-      const auto home = static_cast<Home>(o >> kHomeShift);
-      return home == Home::kRegister   ? index < 256
-             : home == Home::kConstant ? index < p.constants.size()
-                                       : index < kFields;
+    // The machine computes the addresses of both operands even if the opcode uses none.
+    const auto in_range = [&](Operand operand) {
+      const std::size_t index = operand & kOperandIndexMask;
+      const auto kind = static_cast<OperandKind>(operand >> kOperandKindShift);
+      return kind == OperandKind::kRegister   ? index < 256
+             : kind == OperandKind::kConstant ? index < program.constants.size()
+                                              : index < kFieldCount;
     };
-    if (!inside(in.a) || !inside(in.b) || (in.a >> kHomeShift) > 2 || (in.b >> kHomeShift) > 2)
-      return "an operand out of range" + at;
-    if (jumps(in.code)) {
-      lead(in.index, written);
-      if (in.code != Code::kJump) lead(i + 1, written);
+    if (!in_range(instruction.left) || !in_range(instruction.right) ||
+        (instruction.left >> kOperandKindShift) > 2 || (instruction.right >> kOperandKindShift) > 2)
+      return "operand out of range" + at;
+    if (is_jump(instruction.opcode)) {
+      propagate(instruction.immediate, written);
+      if (instruction.opcode != Opcode::kJump) propagate(i + 1, written);
       continue;
     }
-    if (in.to >= p.registers) return "a register out of range" + at;
-    written[in.to] = true;
-    lead(i + 1, written);
+    if (instruction.destination >= program.register_count) return "destination register out of range" + at;
+    written[instruction.destination] = true;
+    propagate(i + 1, written);
   }
-  return before.back() && (*before.back())[0] ? "" : "no result";
+  return written_before.back() && (*written_before.back())[0] ? "" : "result not written on every path";
 }
 
 }  // namespace heronworks::expr
--- a/src/expr/machine.cpp
+++ b/src/expr/machine.cpp
@@ -1,4 +1,4 @@
-// The machine that runs programs, and the steps that it counts. See program.h.
+// Register machine and disassembler.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -11,129 +11,136 @@
 namespace heronworks::expr {
 namespace {
 
-constexpr std::size_t kBytesOfStep = 32;  // bytes of text that one step looks at
+constexpr std::size_t kBytesPerStep = 32;  // of strings, that one step processes
 
-constexpr const char* kCodeNames[] = {"move",
-                                      "not",
-                                      "negate.int",
-                                      "negate.double",
-                                      "add.int",
-                                      "add.uint",
-                                      "add.double",
-                                      "join",
-                                      "subtract.int",
-                                      "subtract.uint",
-                                      "subtract.double",
-                                      "multiply.int",
-                                      "multiply.uint",
-                                      "multiply.double",
-                                      "divide.int",
-                                      "divide.uint",
-                                      "divide.double",
-                                      "remainder.int",
-                                      "remainder.uint",
-                                      "equal.word",
-                                      "equal.double",
-                                      "equal.text",
-                                      "equal.address",
-                                      "less.int",
-                                      "less.uint",
-                                      "less.double",
-                                      "less.text",
-                                      "less.address",
-                                      "in.words",
-                                      "in.texts",
-                                      "in.networks",
-                                      "jump",
-                                      "jump.if_false",
-                                      "jump.if_true",
-                                      "starts_with",
-                                      "ends_with",
-                                      "contains",
-                                      "matches",
-                                      "lower",
-                                      "size",
-                                      "hash",
-                                      "min.int",
-                                      "min.uint",
-                                      "min.double",
-                                      "abs.int",
-                                      "abs.double",
-                                      "int.from_uint",
-                                      "int.from_double",
-                                      "uint.from_int",
-                                      "uint.from_double",
-                                      "double.from_int",
-                                      "double.from_uint",
-                                      "seconds"};
-static_assert(std::size(kCodeNames) == static_cast<std::size_t>(Code::kSeconds) + 1);
+constexpr const char* kOpcodeNames[] = {"move",
+                                        "not",
+                                        "negate.int",
+                                        "negate.double",
+                                        "add.int",
+                                        "add.uint",
+                                        "add.double",
+                                        "join",
+                                        "subtract.int",
+                                        "subtract.uint",
+                                        "subtract.double",
+                                        "multiply.int",
+                                        "multiply.uint",
+                                        "multiply.double",
+                                        "divide.int",
+                                        "divide.uint",
+                                        "divide.double",
+                                        "remainder.int",
+                                        "remainder.uint",
+                                        "equal.word",
+                                        "equal.double",
+                                        "equal.text",
+                                        "equal.address",
+                                        "less.int",
+                                        "less.uint",
+                                        "less.double",
+                                        "less.text",
+                                        "less.address",
+                                        "in.words",
+                                        "in.texts",
+                                        "in.networks",
+                                        "jump",
+                                        "jump.if_false",
+                                        "jump.if_true",
+                                        "starts_with",
+                                        "ends_with",
+                                        "contains",
+                                        "matches",
+                                        "lower",
+                                        "size",
+                                        "hash",
+                                        "min.int",
+                                        "min.uint",
+                                        "min.double",
+                                        "abs.int",
+                                        "abs.double",
+                                        "int.from_uint",
+                                        "int.from_double",
+                                        "uint.from_int",
+                                        "uint.from_double",
+                                        "double.from_int",
+                                        "double.from_uint",
+                                        "seconds"};
+static_assert(std::size(kOpcodeNames) == static_cast<std::size_t>(Opcode::kSeconds) + 1);
 
 }  // namespace
 
-const char* name(Failure f) {
-  static constexpr const char* kNames[] = {"none", "overflow", "division by zero", "conversion that loses",
-                                           "not finite"};
-  return kNames[static_cast<std::size_t>(f)];
+const char* to_string(Failure failure) {
+  static constexpr const char* kNames[] = {"none", "overflow", "division by zero", "lossy conversion",
+                                           "result not finite"};
+  return kNames[static_cast<std::size_t>(failure)];
 }
 
-bool jumps(Code c) { return c == Code::kJump || c == Code::kJumpIfFalse || c == Code::kJumpIfTrue; }
+bool is_jump(Opcode opcode) {
+  return opcode == Opcode::kJump || opcode == Opcode::kJumpIfFalse || opcode == Opcode::kJumpIfTrue;
+}
 
-bool reads_two(Code c) {
-  return (c >= Code::kAddInt && c <= Code::kLessAddress) ||
-         (c >= Code::kStartsWith && c <= Code::kContains) || (c >= Code::kMinInt && c <= Code::kMinDouble);
+bool has_two_operands(Opcode opcode) {
+  return (opcode >= Opcode::kAddInt && opcode <= Opcode::kLessAddress) ||
+         (opcode >= Opcode::kStartsWith && opcode <= Opcode::kContains) ||
+         (opcode >= Opcode::kMinInt && opcode <= Opcode::kMinDouble);
 }
 
-std::uint64_t steps(Code, std::size_t bytes) { return 1 + (bytes + kBytesOfStep - 1) / kBytesOfStep; }
+std::uint64_t instruction_steps(Opcode, std::size_t bytes) {
+  return 1 + (bytes + kBytesPerStep - 1) / kBytesPerStep;
+}
 
-std::string Program::listing() const {
-  const auto shown = [&](Operand o) {
-    const std::size_t index = o & kIndexMask;
-    switch (static_cast<Home>(o >> kHomeShift)) {
-      case Home::kRegister:
+std::string Program::disassemble() const {
+  const auto operand_to_string = [&](Operand operand) {
+    const std::size_t index = operand & kOperandIndexMask;
+    switch (static_cast<OperandKind>(operand >> kOperandKindShift)) {
+      case OperandKind::kRegister:
         return "r" + std::to_string(index);
-      case Home::kConstant:
-        return constants[index].text();
-      case Home::kField:
+      case OperandKind::kConstant:
+        return constants[index].to_source();
+      case OperandKind::kField:
         return std::string(fields()[index].name);
     }
     return std::string();
   };
   std::string out;
-  for (std::size_t i = 0; i < code.size(); ++i) {
-    const Instruction& in = code[i];
+  for (std::size_t i = 0; i < instructions.size(); ++i) {
+    const Instruction& instruction = instructions[i];
     char line[160];
-    std::snprintf(line, sizeof line, "%4zu  %-16s", i, kCodeNames[static_cast<std::size_t>(in.code)]);
+    std::snprintf(line, sizeof line, "%4zu  %-16s", i,
+                  kOpcodeNames[static_cast<std::size_t>(instruction.opcode)]);
     out += line;
-    if (jumps(in.code)) {
-      out += (in.code == Code::kJump ? "" : " " + shown(in.a)) + " to " + std::to_string(in.index);
+    if (is_jump(instruction.opcode)) {
+      out += (instruction.opcode == Opcode::kJump ? "" : " " + operand_to_string(instruction.left)) + " to " +
+             std::to_string(instruction.immediate);
     } else {
-      out +=
-          " r" + std::to_string(in.to) + " = " + shown(in.a) + (reads_two(in.code) ? ", " + shown(in.b) : "");
+      out += " r" + std::to_string(instruction.destination) + " = " + operand_to_string(instruction.left) +
+             (has_two_operands(instruction.opcode) ? ", " + operand_to_string(instruction.right) : "");
     }
     out += "\n";
   }
   return out;
 }
 
-// Written down, and the same in every version: for each argument one byte of its type's number, 8 bytes of
-// its length in little endian, then its bytes (words little endian, addresses in network order); XXH3 64
-// bits, seed 0.
-std::uint64_t hash_of(const std::vector<Type>& types, const Value* values) {
+// Stable format: XXH3 64 with seed 0 over, for each argument, one byte with the number of its BaseType, 8
+// bytes with its length in little-endian order, and its bytes (numbers in little-endian, addresses in network
+// order).
+std::uint64_t hash_values(const std::vector<Type>& types, const Value* values) {
   XXH3_state_t state;
   XXH3_64bits_reset(&state);
   for (std::size_t i = 0; i < types.size(); ++i) {
-    const Value& v = values[i];
-    const void* data = &v.u;
+    const Value& value = values[i];
+    const void* data = &value.as_uint;
     std::uint64_t size = 8;
-    const std::uint8_t one = types[i].base == Base::kBool && v.b ? 1 : 0;
+    const std::uint8_t bool_byte = types[i].base == BaseType::kBool && value.as_bool ? 1 : 0;
     if (types[i] == kString || types[i] == kBytes) {
-      data = v.s.data;
-      size = v.s.size;
+      data = value.as_text.data;
+      size = value.as_text.size;
     } else if (types[i] == kAddress) {
-      data = v.a.data();
+      data = value.as_address.data();
       size = 16;
     } else if (types[i] == kBool) {
-      data = &one;
+      data = &bool_byte;
       size = 1;
     }
     const auto base = static_cast<std::uint8_t>(types[i].base);
@@ -144,252 +151,269 @@
   return XXH3_64bits_digest(&state);
 }
 
-Failure Machine::run(const Program& p, const Record& record, Value& result) {
-  auto& r = registers_;
-  if (scratch_.size() < p.scratch) scratch_.resize(p.scratch);
-  std::size_t used = 0;
-  struct Steps {  // told at the end, whichever it is
-    std::uint64_t& to;
+Failure Machine::run(const Program& program, const Record& record, Value& result) {
+  auto& registers = registers_;
+  if (scratch_.size() < program.scratch_bytes) scratch_.resize(program.scratch_bytes);
+  std::size_t scratch_used = 0;
+  // Stores the count on every return.
+  struct StepCounter {
+    std::uint64_t& total;
     std::uint64_t count = 0;
-    ~Steps() { to = count; }
-  } steps{spent_};
-  const auto spend = [&](std::size_t bytes) { steps.count += (bytes + kBytesOfStep - 1) / kBytesOfStep; };
-  const Value* const homes[] = {r.data(), p.values.data(), record.values.data()};
-  const Instruction* const code = p.code.data();
-  const std::size_t count = p.code.size();
+    ~StepCounter() { total = count; }
+  } steps{steps_used_};
+  const auto add_byte_steps = [&](std::size_t bytes) {
+    steps.count += (bytes + kBytesPerStep - 1) / kBytesPerStep;
+  };
+  const Value* const operand_bases[] = {registers.data(), program.constant_values.data(),
+                                        record.values.data()};
+  const Instruction* const instructions = program.instructions.data();
+  const std::size_t count = program.instructions.size();
   for (std::size_t i = 0; i < count; ++i) {
-    const Instruction& in = code[i];
-    const Value& a = homes[in.a >> kHomeShift][in.a & kIndexMask];
-    const Value& b = homes[in.b >> kHomeShift][in.b & kIndexMask];
-    Value& to = r[in.to];
+    const Instruction& instruction = instructions[i];
+    const Value& left =
+        operand_bases[instruction.left >> kOperandKindShift][instruction.left & kOperandIndexMask];
+    const Value& right =
+        operand_bases[instruction.right >> kOperandKindShift][instruction.right & kOperandIndexMask];
+    Value& destination = registers[instruction.destination];
     ++steps.count;
-    switch (in.code) {
-      case Code::kMove:
-        to = a;
+    switch (instruction.opcode) {
+      case Opcode::kMove:
+        destination = left;
         break;
-      case Code::kNot:
-        to = Value(!a.b);
+      case Opcode::kNot:
+        destination = Value(!left.as_bool);
         break;
-      case Code::kNegateInt:
-        if (a.i == INT64_MIN) return Failure::kOverflow;
-        to = Value(-a.i);
+      case Opcode::kNegateInt:
+        if (left.as_int == INT64_MIN) return Failure::kOverflow;
+        destination = Value(-left.as_int);
         break;
-      case Code::kNegateDouble:
-        to = Value(-a.d);
+      case Opcode::kNegateDouble:
+        destination = Value(-left.as_double);
         break;
-      case Code::kAddInt: {
-        std::int64_t v = 0;
-        if (__builtin_add_overflow(a.i, b.i, &v)) return Failure::kOverflow;
-        to = Value(v);
+      case Opcode::kAddInt: {
+        std::int64_t number = 0;
+        if (__builtin_add_overflow(left.as_int, right.as_int, &number)) return Failure::kOverflow;
+        destination = Value(number);
         break;
       }
-      case Code::kAddUint: {
-        std::uint64_t v = 0;
-        if (__builtin_add_overflow(a.u, b.u, &v)) return Failure::kOverflow;
-        to = Value(v);
+      case Opcode::kAddUint: {
+        std::uint64_t number = 0;
+        if (__builtin_add_overflow(left.as_uint, right.as_uint, &number)) return Failure::kOverflow;
+        destination = Value(number);
         break;
       }
-      case Code::kSubtractInt: {
-        std::int64_t v = 0;
-        if (__builtin_sub_overflow(a.i, b.i, &v)) return Failure::kOverflow;
-        to = Value(v);
+      case Opcode::kSubtractInt: {
+        std::int64_t number = 0;
+        if (__builtin_sub_overflow(left.as_int, right.as_int, &number)) return Failure::kOverflow;
+        destination = Value(number);
         break;
       }
-      case Code::kSubtractUint:
-        if (b.u > a.u) return Failure::kOverflow;
-        to = Value(a.u - b.u);
+      case Opcode::kSubtractUint:
+        if (right.as_uint > left.as_uint) return Failure::kOverflow;
+        destination = Value(left.as_uint - right.as_uint);
         break;
-      case Code::kMultiplyInt: {
-        std::int64_t v = 0;
-        if (__builtin_mul_overflow(a.i, b.i, &v)) return Failure::kOverflow;
-        to = Value(v);
+      case Opcode::kMultiplyInt: {
+        std::int64_t number = 0;
+        if (__builtin_mul_overflow(left.as_int, right.as_int, &number)) return Failure::kOverflow;
+        destination = Value(number);
         break;
       }
-      case Code::kMultiplyUint: {
-        std::uint64_t v = 0;
-        if (__builtin_mul_overflow(a.u, b.u, &v)) return Failure::kOverflow;
-        to = Value(v);
+      case Opcode::kMultiplyUint: {
+        std::uint64_t number = 0;
+        if (__builtin_mul_overflow(left.as_uint, right.as_uint, &number)) return Failure::kOverflow;
+        destination = Value(number);
         break;
       }
-      case Code::kDivideInt:
-        if (b.i == 0) return Failure::kDivision;
-        if (a.i == INT64_MIN && b.i == -1) return Failure::kOverflow;
-        to = Value(a.i / b.i);
-        break;
-      case Code::kDivideUint:
-        if (b.u == 0) return Failure::kDivision;
-        to = Value(a.u / b.u);
-        break;
-      case Code::kRemainderInt:
-        if (b.i == 0) return Failure::kDivision;
-        to = Value(b.i == -1 ? std::int64_t{0} : a.i % b.i);
-        break;
-      case Code::kRemainderUint:
-        if (b.u == 0) return Failure::kDivision;
-        to = Value(a.u % b.u);
-        break;
-      case Code::kAddDouble:
-        to = Value(a.d + b.d);
-        if (!std::isfinite(to.d)) return Failure::kNotFinite;
-        break;
-      case Code::kSubtractDouble:
-        to = Value(a.d - b.d);
-        if (!std::isfinite(to.d)) return Failure::kNotFinite;
-        break;
-      case Code::kMultiplyDouble:
-        to = Value(a.d * b.d);
-        if (!std::isfinite(to.d)) return Failure::kNotFinite;
-        break;
-      case Code::kDivideDouble:
-        if (b.d == 0) return Failure::kDivision;
-        to = Value(a.d / b.d);
-        if (!std::isfinite(to.d)) return Failure::kNotFinite;
-        break;
-      case Code::kJoin: {
-        spend(a.s.size + b.s.size);
-        char* at = scratch_.data() + used;
-        used += a.s.size + b.s.size;
-        if (a.s.size > 0) std::memcpy(at, a.s.data, a.s.size);
-        if (b.s.size > 0) std::memcpy(at + a.s.size, b.s.data, b.s.size);
-        to = Value(std::string_view(at, a.s.size + b.s.size));
+      case Opcode::kDivideInt:
+        if (right.as_int == 0) return Failure::kDivisionByZero;
+        if (left.as_int == INT64_MIN && right.as_int == -1) return Failure::kOverflow;
+        destination = Value(left.as_int / right.as_int);
+        break;
+      case Opcode::kDivideUint:
+        if (right.as_uint == 0) return Failure::kDivisionByZero;
+        destination = Value(left.as_uint / right.as_uint);
+        break;
+      case Opcode::kRemainderInt:
+        if (right.as_int == 0) return Failure::kDivisionByZero;
+        destination = Value(right.as_int == -1 ? std::int64_t{0} : left.as_int % right.as_int);
+        break;
+      case Opcode::kRemainderUint:
+        if (right.as_uint == 0) return Failure::kDivisionByZero;
+        destination = Value(left.as_uint % right.as_uint);
+        break;
+      case Opcode::kAddDouble:
+        destination = Value(left.as_double + right.as_double);
+        if (!std::isfinite(destination.as_double)) return Failure::kNotFinite;
+        break;
+      case Opcode::kSubtractDouble:
+        destination = Value(left.as_double - right.as_double);
+        if (!std::isfinite(destination.as_double)) return Failure::kNotFinite;
+        break;
+      case Opcode::kMultiplyDouble:
+        destination = Value(left.as_double * right.as_double);
+        if (!std::isfinite(destination.as_double)) return Failure::kNotFinite;
+        break;
+      case Opcode::kDivideDouble:
+        if (right.as_double == 0) return Failure::kDivisionByZero;
+        destination = Value(left.as_double / right.as_double);
+        if (!std::isfinite(destination.as_double)) return Failure::kNotFinite;
+        break;
+      case Opcode::kJoin: {
+        add_byte_steps(left.as_text.size + right.as_text.size);
+        char* output = scratch_.data() + scratch_used;
+        scratch_used += left.as_text.size + right.as_text.size;
+        if (left.as_text.size > 0) std::memcpy(output, left.as_text.data, left.as_text.size);
+        if (right.as_text.size > 0)
+          std::memcpy(output + left.as_text.size, right.as_text.data, right.as_text.size);
+        destination = Value(std::string_view(output, left.as_text.size + right.as_text.size));
         break;
       }
-      case Code::kEqualWord:
-        to = Value(a.u == b.u);
+      case Opcode::kEqualWord:
+        destination = Value(left.as_uint == right.as_uint);
         break;
-      case Code::kEqualDouble:
-        to = Value(a.d == b.d);
+      case Opcode::kEqualDouble:
+        destination = Value(left.as_double == right.as_double);
         break;
-      case Code::kEqualText:
-        spend(std::min(a.s.size, b.s.size));
-        to = Value(a.s.view() == b.s.view());
+      case Opcode::kEqualText:
+        add_byte_steps(std::min(left.as_text.size, right.as_text.size));
+        destination = Value(left.as_text.view() == right.as_text.view());
         break;
-      case Code::kEqualAddress:
-        to = Value(a.a == b.a);
+      case Opcode::kEqualAddress:
+        destination = Value(left.as_address == right.as_address);
         break;
-      case Code::kLessInt:
-        to = Value(a.i < b.i);
+      case Opcode::kLessInt:
+        destination = Value(left.as_int < right.as_int);
         break;
-      case Code::kLessUint:
-        to = Value(a.u < b.u);
+      case Opcode::kLessUint:
+        destination = Value(left.as_uint < right.as_uint);
         break;
-      case Code::kLessDouble:
-        to = Value(a.d < b.d);
+      case Opcode::kLessDouble:
+        destination = Value(left.as_double < right.as_double);
         break;
-      case Code::kLessText:
-        spend(std::min(a.s.size, b.s.size));
-        to = Value(a.s.view() < b.s.view());
+      case Opcode::kLessText:
+        add_byte_steps(std::min(left.as_text.size, right.as_text.size));
+        destination = Value(left.as_text.view() < right.as_text.view());
         break;
-      case Code::kLessAddress:
-        to = Value(a.a < b.a);
+      case Opcode::kLessAddress:
+        destination = Value(left.as_address < right.as_address);
         break;
-      case Code::kInWords:
-        to = Value(p.words[in.index].contains(a.u));
+      case Opcode::kInWords:
+        destination = Value(program.word_sets[instruction.immediate].contains(left.as_uint));
         break;
-      case Code::kInTexts:
-        spend(a.s.size);
-        to = Value(p.texts[in.index].contains(a.s.view()));
+      case Opcode::kInTexts:
+        add_byte_steps(left.as_text.size);
+        destination = Value(program.text_sets[instruction.immediate].contains(left.as_text.view()));
         break;
-      case Code::kInNetworks:
-        to = Value(p.networks[in.index]->contains(a.a));
+      case Opcode::kInNetworks:
+        destination = Value(program.network_sets[instruction.immediate]->contains(left.as_address));
         break;
-      case Code::kJump:
-        i = in.index - 1;
+      case Opcode::kJump:
+        i = instruction.immediate - 1;
         break;
-      case Code::kJumpIfFalse:
-        if (!a.b) i = in.index - 1;
+      case Opcode::kJumpIfFalse:
+        if (!left.as_bool) i = instruction.immediate - 1;
         break;
-      case Code::kJumpIfTrue:
-        if (a.b) i = in.index - 1;
+      case Opcode::kJumpIfTrue:
+        if (left.as_bool) i = instruction.immediate - 1;
         break;
-      case Code::kStartsWith:
-        spend(b.s.size);
-        to = Value(a.s.view().starts_with(b.s.view()));
+      case Opcode::kStartsWith:
+        add_byte_steps(right.as_text.size);
+        destination = Value(left.as_text.view().starts_with(right.as_text.view()));
         break;
-      case Code::kEndsWith:
-        spend(b.s.size);
-        to = Value(a.s.view().ends_with(b.s.view()));
+      case Opcode::kEndsWith:
+        add_byte_steps(right.as_text.size);
+        destination = Value(left.as_text.view().ends_with(right.as_text.view()));
         break;
-      case Code::kContains:
-        spend(a.s.size + b.s.size);
-        to = Value(a.s.view().find(b.s.view()) != std::string_view::npos);
+      case Opcode::kContains:
+        add_byte_steps(left.as_text.size + right.as_text.size);
+        destination = Value(left.as_text.view().find(right.as_text.view()) != std::string_view::npos);
         break;
-      case Code::kMatches:
-        spend(8 * a.s.size);
-        to = Value(re2::RE2::PartialMatch(re2::StringPiece(a.s.data, a.s.size), *p.expressions[in.index]));
+      case Opcode::kMatches:
+        add_byte_steps(8 * left.as_text.size);
+        destination = Value(re2::RE2::PartialMatch(re2::StringPiece(left.as_text.data, left.as_text.size),
+                                                   *program.regexes[instruction.immediate]));
         break;
-      case Code::kLower: {
-        spend(a.s.size);
-        char* at = scratch_.data() + used;
-        used += a.s.size;
-        for (std::size_t k = 0; k < a.s.size; ++k) {
-          const char c = a.s.data[k];
-          at[k] = c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
+      case Opcode::kLower: {
+        add_byte_steps(left.as_text.size);
+        char* output = scratch_.data() + scratch_used;
+        scratch_used += left.as_text.size;
+        for (std::size_t k = 0; k < left.as_text.size; ++k) {
+          const char c = left.as_text.data[k];
+          output[k] = c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
         }
-        to = Value(std::string_view(at, a.s.size));
+        destination = Value(std::string_view(output, left.as_text.size));
         break;
       }
-      case Code::kLength:
-        to = Value(static_cast<std::uint64_t>(a.s.size));
+      case Opcode::kByteSize:
+        destination = Value(static_cast<std::uint64_t>(left.as_text.size));
         break;
-      case Code::kHash: {
-        const auto& types = p.hashed[in.index];
+      case Opcode::kHash: {
+        const auto& types = program.hash_argument_types[instruction.immediate];
         for (std::size_t k = 0; k < types.size(); ++k) {
-          if (types[k] == kString || types[k] == kBytes) spend(r[in.a + k].s.size);
+          if (types[k] == kString || types[k] == kBytes)
+            add_byte_steps(registers[instruction.left + k].as_text.size);
         }
-        to = Value(hash_of(types, &r[in.a]));
+        destination = Value(hash_values(types, &registers[instruction.left]));
         break;
       }
-      case Code::kMinInt:
-        to = in.index == 1 ? Value(std::max(a.i, b.i)) : Value(std::min(a.i, b.i));
-        break;
-      case Code::kMinUint:
-        to = in.index == 1 ? Value(std::max(a.u, b.u)) : Value(std::min(a.u, b.u));
-        break;
-      case Code::kMinDouble:
-        to = in.index == 1 ? Value(std::max(a.d, b.d)) : Value(std::min(a.d, b.d));
-        break;
-      case Code::kAbsInt:
-        if (a.i == INT64_MIN) return Failure::kOverflow;
-        to = Value(a.i < 0 ? -a.i : a.i);
-        break;
-      case Code::kAbsDouble:
-        to = Value(std::fabs(a.d));
-        break;
-      case Code::kIntFromUint:
-        if (a.u > INT64_MAX) return Failure::kConversion;
-        to = Value(static_cast<std::int64_t>(a.u));
-        break;
-      case Code::kIntFromDouble:
-        if (!(a.d >= -0x1p63 && a.d < 0x1p63) || a.d != std::trunc(a.d)) return Failure::kConversion;
-        to = Value(static_cast<std::int64_t>(a.d));
-        break;
-      case Code::kUintFromInt:
-        if (a.i < 0) return Failure::kConversion;
-        to = Value(static_cast<std::uint64_t>(a.i));
-        break;
-      case Code::kUintFromDouble:
-        if (!(a.d >= 0 && a.d < 0x1p64) || a.d != std::trunc(a.d)) return Failure::kConversion;
-        to = Value(static_cast<std::uint64_t>(a.d));
-        break;
-      case Code::kDoubleFromInt: {
-        const auto d = static_cast<double>(a.i);
-        if (d >= 0x1p63 || static_cast<std::int64_t>(d) != a.i) return Failure::kConversion;
-        to = Value(d);
+      case Opcode::kMinInt:
+        destination = instruction.immediate == 1 ? Value(std::max(left.as_int, right.as_int))
+                                                 : Value(std::min(left.as_int, right.as_int));
+        break;
+      case Opcode::kMinUint:
+        destination = instruction.immediate == 1 ? Value(std::max(left.as_uint, right.as_uint))
+                                                 : Value(std::min(left.as_uint, right.as_uint));
+        break;
+      case Opcode::kMinDouble:
+        destination = instruction.immediate == 1 ? Value(std::max(left.as_double, right.as_double))
+                                                 : Value(std::min(left.as_double, right.as_double));
+        break;
+      case Opcode::kAbsInt:
+        if (left.as_int == INT64_MIN) return Failure::kOverflow;
+        destination = Value(left.as_int < 0 ? -left.as_int : left.as_int);
+        break;
+      case Opcode::kAbsDouble:
+        destination = Value(std::fabs(left.as_double));
+        break;
+      case Opcode::kIntFromUint:
+        if (left.as_uint > INT64_MAX) return Failure::kLossyConversion;
+        destination = Value(static_cast<std::int64_t>(left.as_uint));
+        break;
+      case Opcode::kIntFromDouble:
+        if (!(left.as_double >= -0x1p63 && left.as_double < 0x1p63) ||
+            left.as_double != std::trunc(left.as_double))
+          return Failure::kLossyConversion;
+        destination = Value(static_cast<std::int64_t>(left.as_double));
+        break;
+      case Opcode::kUintFromInt:
+        if (left.as_int < 0) return Failure::kLossyConversion;
+        destination = Value(static_cast<std::uint64_t>(left.as_int));
+        break;
+      case Opcode::kUintFromDouble:
+        if (!(left.as_double >= 0 && left.as_double < 0x1p64) || left.as_double != std::trunc(left.as_double))
+          return Failure::kLossyConversion;
+        destination = Value(static_cast<std::uint64_t>(left.as_double));
+        break;
+      case Opcode::kDoubleFromInt: {
+        const auto number = static_cast<double>(left.as_int);
+        if (number >= 0x1p63 || static_cast<std::int64_t>(number) != left.as_int)
+          return Failure::kLossyConversion;
+        destination = Value(number);
         break;
       }
-      case Code::kDoubleFromUint: {
-        const auto d = static_cast<double>(a.u);
-        if (d >= 0x1p64 || static_cast<std::uint64_t>(d) != a.u) return Failure::kConversion;
-        to = Value(d);
+      case Opcode::kDoubleFromUint: {
+        const auto number = static_cast<double>(left.as_uint);
+        if (number >= 0x1p64 || static_cast<std::uint64_t>(number) != left.as_uint)
+          return Failure::kLossyConversion;
+        destination = Value(number);
         break;
       }
-      case Code::kSeconds:
-        to = Value(static_cast<double>(a.i) / 1e9);
+      case Opcode::kSeconds:
+        destination = Value(static_cast<double>(left.as_int) / 1e9);
         break;
     }
   }
-  result = r[0];
+  result = registers[0];
   return Failure::kNone;
 }
 
--- a/src/expr/rules.cpp
+++ b/src/expr/rules.cpp
@@ -1,4 +1,3 @@
-// Sets of rules and their index: see rules.h.
 #include "expr/rules.h"
 
 #include <algorithm>
@@ -9,262 +8,283 @@
 namespace heronworks::expr {
 namespace {
 
-// What a rule demands of one field: its value is one of these.
-struct Demand {
+// A condition that restricts one field to a list of values, and so can be looked up in an index.
+struct EqualityCondition {
   int field = -1;
   std::vector<const Constant*> values;
-  std::size_t part = 0;  // of the rule
+  std::size_t position = 0;  // among the conditions of the rule
 };
 
-bool indexable(Type t) { return t == kInt || t == kUint || t == kString || t == kSize || t == kDuration; }
+bool is_indexable(Type t) { return t == kInt || t == kUint || t == kString || t == kSize || t == kDuration; }
 
-// What stands joined by && at the top of a checked tree.
-void split(Tree& t, std::vector<Tree*>& out) {
-  if (t.node == Node::kBinary && t.op == Op::kAnd) {
-    split(*t.args[0], out);
-    split(*t.args[1], out);
+// Appends the operands of the && operators at the top of a type-checked tree.
+void split_conjunction(AstNode& node, std::vector<AstNode*>& out) {
+  if (node.kind == NodeKind::kBinary && node.op == Operator::kAnd) {
+    split_conjunction(*node.children[0], out);
+    split_conjunction(*node.children[1], out);
   } else {
-    out.push_back(&t);
+    out.push_back(&node);
   }
 }
 
-std::optional<Demand> demand(const Tree& t, std::size_t part) {
-  if (t.node != Node::kBinary) return std::nullopt;
-  const Tree* field = t.args[0].get();
-  const Tree* other = t.args[1].get();
-  if (t.op == Op::kEqual && field->node == Node::kConstant) std::swap(field, other);
-  if (field->node != Node::kField || !indexable(field->type)) return std::nullopt;
-  if (t.op == Op::kEqual && other->node == Node::kConstant)
-    return Demand{field->field, {&other->constant}, part};
-  if (t.op != Op::kIn || other->node != Node::kList) return std::nullopt;
-  Demand d{field->field, {}, part};
-  for (const auto& a : other->args) d.values.push_back(&a->constant);
-  return d;
+std::optional<EqualityCondition> equality_condition(const AstNode& node, std::size_t position) {
+  if (node.kind != NodeKind::kBinary) return std::nullopt;
+  const AstNode* field = node.children[0].get();
+  const AstNode* other = node.children[1].get();
+  if (node.op == Operator::kEqual && field->kind == NodeKind::kConstant) std::swap(field, other);
+  if (field->kind != NodeKind::kField || !is_indexable(field->type)) return std::nullopt;
+  if (node.op == Operator::kEqual && other->kind == NodeKind::kConstant)
+    return EqualityCondition{field->field, {&other->constant}, position};
+  if (node.op != Operator::kIn || other->kind != NodeKind::kList) return std::nullopt;
+  EqualityCondition condition{field->field, {}, position};
+  for (const auto& item : other->children) condition.values.push_back(&item->constant);
+  return condition;
 }
 
 }  // namespace
 
 std::optional<RuleSet> RuleSet::make(const std::vector<RuleSource>& sources, const Definitions& definitions,
-                                     const NetworkSets& sets, const Limits& limits, const Budget& budget,
-                                     const std::vector<bool>& ordered, std::vector<RuleFault>& faults) {
-  const std::size_t before = faults.size();
-  if (sources.size() > budget.rules) {
-    faults.push_back({0,
-                      "",
-                      {{},
-                       std::to_string(sources.size()) + " rules, at most " + std::to_string(budget.rules) +
-                           " are allowed"}});
+                                     const NetworkSets& network_sets, const Limits& limits,
+                                     const Budget& budget, const std::vector<bool>& ordered_profiles,
+                                     std::vector<RuleDiagnostic>& diagnostics) {
+  const std::size_t errors_before = diagnostics.size();
+  if (sources.size() > budget.max_rules) {
+    diagnostics.push_back({0,
+                           "",
+                           {{},
+                            std::to_string(sources.size()) + " rules, at most " +
+                                std::to_string(budget.max_rules) + " are allowed"}});
     return std::nullopt;
   }
   RuleSet set;
-  std::vector<std::unique_ptr<Tree>> trees;
+  std::vector<std::unique_ptr<AstNode>> trees;
   for (std::size_t i = 0; i < sources.size(); ++i) {
-    const RuleSource& s = sources[i];
-    Rule r;
-    r.name = s.name;
-    r.profile = s.profile;
-    r.turn_back = s.turn_back;
-    r.most_share = s.most_share;
-    r.labels = s.labels;
-    const auto compiled = [&](const std::string& source, const char* field, Type type,
-                              std::unique_ptr<Tree>& tree) {
-      std::vector<Fault> here;
-      std::optional<Program> p;
-      tree = parse(source, limits, here);
-      if (tree && definitions.expand(tree, limits, here)) p = compile(*tree, sets, limits, type, here);
-      for (Fault& f : here) faults.push_back({i, field, std::move(f)});
-      return p;
+    const RuleSource& source = sources[i];
+    Rule rule;
+    rule.name = source.name;
+    rule.profile = source.profile;
+    rule.reject_reason = source.reject_reason;
+    rule.max_share = source.max_share;
+    rule.labels = source.labels;
+    const auto compile_field = [&](const std::string& text, const char* field, Type type,
+                                   std::unique_ptr<AstNode>& tree) {
+      std::vector<Diagnostic> field_diagnostics;
+      std::optional<Program> program;
+      tree = parse(text, limits, field_diagnostics);
+      if (tree && definitions.expand(tree, limits, field_diagnostics))
+        program = compile(*tree, network_sets, limits, type, field_diagnostics);
+      for (Diagnostic& diagnostic : field_diagnostics)
+        diagnostics.push_back({i, field, std::move(diagnostic)});
+      return program;
     };
-    std::unique_ptr<Tree> tree;
-    std::unique_ptr<Tree> own;
-    const auto when = compiled(s.when, "when", kBool, tree);
-    if (!s.key.empty()) {
-      r.key = compiled(s.key, "key", kUint, own);
-      // Danger: a client's repeat with another key would pass what it must wait for.
-      if (r.key && !r.key->stable && s.profile >= 0 && ordered[static_cast<std::size_t>(s.profile)]) {
-        faults.push_back(
-            {i,
-             "key",
-             {{},
-              "the key of a profile in order must be the same for every try; it reads a field that is not"}});
+    std::unique_ptr<AstNode> when_tree;
+    std::unique_ptr<AstNode> unused_tree;
+    const auto when = compile_field(source.when, "when", kBool, when_tree);
+    if (!source.key.empty()) {
+      rule.key = compile_field(source.key, "key", kUint, unused_tree);
+      // A retry with another key would not wait for the transactions that it must follow.
+      if (rule.key && !rule.key->stable_across_retries && source.profile >= 0 &&
+          ordered_profiles[static_cast<std::size_t>(source.profile)]) {
+        diagnostics.push_back({i,
+                               "key",
+                               {{},
+                                "the key of a profile with in_order must be the same for every retry, but it "
+                                "reads a field that may change between retries"}});
       }
-      if (r.key) set.cost_ += r.key->cost;
+      if (rule.key) set.max_steps_ += rule.key->max_steps;
     }
-    if (!s.units.empty()) {
-      r.units = compiled(s.units, "units", kUint, own);
-      if (r.units) set.cost_ += r.units->cost;
+    if (!source.units.empty()) {
+      rule.units = compile_field(source.units, "units", kUint, unused_tree);
+      if (rule.units) set.max_steps_ += rule.units->max_steps;
     }
     if (!when) continue;
-    r.cost = when->cost;
-    r.stable = when->stable;
-    if (r.key && !r.stable && s.profile >= 0 && ordered[static_cast<std::size_t>(s.profile)]) {
-      faults.push_back({i,
-                        "when",
-                        {{},
-                         "a rule that gives the key of a profile in order must hold for every try or none; "
-                         "it reads a field that may change"}});
+    rule.max_steps = when->max_steps;
+    rule.stable_across_retries = when->stable_across_retries;
+    if (rule.key && !rule.stable_across_retries && source.profile >= 0 &&
+        ordered_profiles[static_cast<std::size_t>(source.profile)]) {
+      diagnostics.push_back({i,
+                             "when",
+                             {{},
+                              "a rule that sets the key of a profile with in_order must match every retry or "
+                              "none, but it reads a field that may change between retries"}});
     }
-    set.rules_.push_back(std::move(r));
-    trees.push_back(std::move(tree));
+    set.rules_.push_back(std::move(rule));
+    trees.push_back(std::move(when_tree));
   }
-  if (faults.size() > before) return std::nullopt;
+  if (diagnostics.size() > errors_before) return std::nullopt;
 
-  // Which parts several rules ask for.
-  std::vector<std::vector<Demand>> all(trees.size());
-  std::vector<std::vector<std::string>> parts(trees.size());  // as printed, which parses to the same again
-  std::array<std::size_t, kFields> asked{};
-  std::unordered_map<std::string, int> users;
+  // Find the conditions that several rules share, compared by their printed source.
+  std::vector<std::vector<EqualityCondition>> equality_conditions(trees.size());
+  std::vector<std::vector<std::string>> conditions(trees.size());
+  std::array<std::size_t, kFieldCount> conditions_on_field{};
+  std::unordered_map<std::string, int> use_counts;
   for (std::size_t i = 0; i < trees.size(); ++i) {
-    std::vector<Tree*> split_up;
-    split(*trees[i], split_up);
-    for (const Tree* t : split_up) {
-      if (auto d = demand(*t, parts[i].size())) {
-        ++asked[static_cast<std::size_t>(d->field)];
-        all[i].push_back(std::move(*d));
+    std::vector<AstNode*> conjuncts;
+    split_conjunction(*trees[i], conjuncts);
+    for (const AstNode* conjunct : conjuncts) {
+      if (auto equality = equality_condition(*conjunct, conditions[i].size())) {
+        ++conditions_on_field[static_cast<std::size_t>(equality->field)];
+        equality_conditions[i].push_back(std::move(*equality));
       }
-      parts[i].push_back(t->print());
-      ++users[parts[i].back()];
+      conditions[i].push_back(conjunct->to_source());
+      ++use_counts[conditions[i].back()];
     }
   }
 
-  // Each rule goes by the demand that tells it best from the others: the one whose values the fewest rules
-  // demand; among equals, of the field that most rules name, so that few look-ups find nearly all. What the
-  // look-up proves need not be worked out again.
-  const auto value_of = [](int field, const Constant& c) {
-    return std::to_string(field) + (c.type == kString ? "'" + c.bytes : "=" + std::to_string(c.value.u));
+  // Index each rule by its most selective equality condition: the one whose values the fewest rules require;
+  // among equals, the one on the field that most rules use, which keeps the number of indexes low. The lookup
+  // implies that condition, so it is not evaluated again.
+  const auto value_key = [](int field, const Constant& constant) {
+    return std::to_string(field) +
+           (constant.type == kString ? "'" + constant.bytes : "=" + std::to_string(constant.value.as_uint));
   };
-  std::unordered_map<std::string, std::size_t> popular;
-  for (const auto& demands : all) {
-    for (const Demand& d : demands) {
-      for (const Constant* c : d.values) ++popular[value_of(d.field, *c)];
+  std::unordered_map<std::string, std::size_t> rules_with_value;
+  for (const auto& rule_conditions : equality_conditions) {
+    for (const EqualityCondition& condition : rule_conditions) {
+      for (const Constant* value : condition.values) ++rules_with_value[value_key(condition.field, *value)];
     }
   }
-  const auto crowd = [&](const Demand& d) {
+  const auto max_rules_per_value = [&](const EqualityCondition& condition) {
     std::size_t most = 0;
-    for (const Constant* c : d.values) most = std::max(most, popular[value_of(d.field, *c)]);
+    for (const Constant* value : condition.values)
+      most = std::max(most, rules_with_value[value_key(condition.field, *value)]);
     return most;
   };
-  struct Lists {
+  struct RulesByValue {
     std::map<std::uint64_t, std::vector<std::uint32_t>> words;
     std::map<std::string, std::vector<std::uint32_t>> texts;
   };
-  std::map<int, Lists> lists;
-  std::vector<std::uint32_t> each;
+  std::map<int, RulesByValue> rules_by_field;
+  std::vector<std::uint32_t> unindexed;
   for (std::size_t i = 0; i < trees.size(); ++i) {
-    const auto best = std::min_element(all[i].begin(), all[i].end(), [&](const Demand& a, const Demand& b) {
-      const std::size_t ca = crowd(a);
-      const std::size_t cb = crowd(b);
-      return ca != cb ? ca < cb
-                      : asked[static_cast<std::size_t>(a.field)] > asked[static_cast<std::size_t>(b.field)];
-    });
-    if (best == all[i].end()) {
-      each.push_back(static_cast<std::uint32_t>(i));
-      set.found_by_.push_back("each");
+    const auto best = std::min_element(
+        equality_conditions[i].begin(), equality_conditions[i].end(),
+        [&](const EqualityCondition& a, const EqualityCondition& b) {
+          const std::size_t rules_a = max_rules_per_value(a);
+          const std::size_t rules_b = max_rules_per_value(b);
+          return rules_a != rules_b ? rules_a < rules_b
+                                    : conditions_on_field[static_cast<std::size_t>(a.field)] >
+                                          conditions_on_field[static_cast<std::size_t>(b.field)];
+        });
+    if (best == equality_conditions[i].end()) {
+      unindexed.push_back(static_cast<std::uint32_t>(i));
+      set.index_fields_.push_back("each");
       continue;
     }
-    set.found_by_.push_back(fields()[static_cast<std::size_t>(best->field)].name);
-    for (const Constant* c : best->values) {
-      Lists& l = lists[best->field];
-      auto& list = c->type == kString ? l.texts[c->bytes] : l.words[c->value.u];
-      if (list.empty() || list.back() != i) list.push_back(static_cast<std::uint32_t>(i));
+    set.index_fields_.push_back(fields()[static_cast<std::size_t>(best->field)].name);
+    for (const Constant* value : best->values) {
+      RulesByValue& by_value = rules_by_field[best->field];
+      auto& rules =
+          value->type == kString ? by_value.texts[value->bytes] : by_value.words[value->value.as_uint];
+      if (rules.empty() || rules.back() != i) rules.push_back(static_cast<std::uint32_t>(i));
     }
-    --users[parts[i][best->part]];
-    parts[i].erase(parts[i].begin() + static_cast<std::ptrdiff_t>(best->part));
+    --use_counts[conditions[i][best->position]];
+    conditions[i].erase(conditions[i].begin() + static_cast<std::ptrdiff_t>(best->position));
   }
-  const auto lay = [&](const std::vector<std::uint32_t>& list) {
-    const auto from = static_cast<std::uint32_t>(set.candidates_.size());
-    set.candidates_.insert(set.candidates_.end(), list.begin(), list.end());
-    return Stretch{from, static_cast<std::uint32_t>(set.candidates_.size())};
+  const auto append_candidates = [&](const std::vector<std::uint32_t>& rules) {
+    const auto begin = static_cast<std::uint32_t>(set.candidates_.size());
+    set.candidates_.insert(set.candidates_.end(), rules.begin(), rules.end());
+    return CandidateRange{begin, static_cast<std::uint32_t>(set.candidates_.size())};
   };
-  set.each_ = lay(each);
-  for (const auto& [field, l] : lists) {
-    Index& index = set.indexes_.emplace_back();
+  set.unindexed_ = append_candidates(unindexed);
+  for (const auto& [field, by_value] : rules_by_field) {
+    FieldIndex& index = set.indexes_.emplace_back();
     index.field = field;
-    for (const auto& [value, list] : l.words) index.words[value] = lay(list);
-    for (const auto& [value, list] : l.texts) index.texts[value] = lay(list);
+    for (const auto& [value, rules] : by_value.words) index.words[value] = append_candidates(rules);
+    for (const auto& [value, rules] : by_value.texts) index.texts[value] = append_candidates(rules);
   }
-  // A shared part is one program; what stands between such parts is one more.
-  Limits wide = limits;  // for what was sound already, written out with all its brackets
-  wide.source *= 8;
-  wide.nodes *= 2;
-  wide.nesting *= 4;
-  std::unordered_map<std::string, std::uint32_t> made;
-  const auto program_of = [&](const std::string& source, bool shared) -> bool {
-    std::vector<Fault> here;
-    auto program = compile(source, sets, wide, kBool, here);
-    if (!program) return faults.push_back({0, "", {{}, "a part cannot stand alone: " + source}}), false;
-    set.cost_ += program->cost;
-    set.parts_.push_back({std::move(*program), shared ? static_cast<int>(set.shared_++) : -1});
+
+  // Compile each shared condition into a program of its own, and each run of conditions between them into
+  // one. Their sources passed the limits before definitions were expanded and all parentheses were printed.
+  Limits relaxed_limits = limits;
+  relaxed_limits.max_source_bytes *= 8;
+  relaxed_limits.max_nodes *= 2;
+  relaxed_limits.max_nesting *= 4;
+  std::unordered_map<std::string, std::uint32_t> shared_conditions;
+  const auto add_condition = [&](const std::string& source, bool shared) -> bool {
+    std::vector<Diagnostic> ignored;
+    auto program = compile(source, network_sets, relaxed_limits, kBool, ignored);
+    if (!program)
+      return diagnostics.push_back(
+                 {0, "", {{}, "internal error: condition does not compile on its own: " + source}}),
+             false;
+    set.max_steps_ += program->max_steps;
+    set.conditions_.push_back(
+        {std::move(*program), shared ? static_cast<int>(set.shared_condition_count_++) : -1});
     return true;
   };
   for (std::size_t i = 0; i < trees.size(); ++i) {
-    Rule& r = set.rules_[i];
-    std::string between;
-    const auto close = [&] {
-      if (between.empty()) return true;
-      r.parts.push_back(static_cast<std::uint32_t>(set.parts_.size()));
-      return program_of(std::exchange(between, ""), false);
+    Rule& rule = set.rules_[i];
+    std::string unshared;
+    const auto add_unshared = [&] {
+      if (unshared.empty()) return true;
+      rule.conditions.push_back(static_cast<std::uint32_t>(set.conditions_.size()));
+      return add_condition(std::exchange(unshared, ""), false);
     };
-    for (const std::string& part : parts[i]) {
-      if (users[part] < 2) {
-        between += (between.empty() ? "(" : " && (") + part + ")";
+    for (const std::string& condition : conditions[i]) {
+      if (use_counts[condition] < 2) {
+        unshared += (unshared.empty() ? "(" : " && (") + condition + ")";
         continue;
       }
-      if (!close()) return std::nullopt;
-      const auto [at, fresh] = made.emplace(part, static_cast<std::uint32_t>(set.parts_.size()));
-      if (fresh && !program_of(part, true)) return std::nullopt;
-      r.parts.push_back(at->second);
+      if (!add_unshared()) return std::nullopt;
+      const auto [shared, inserted] =
+          shared_conditions.emplace(condition, static_cast<std::uint32_t>(set.conditions_.size()));
+      if (inserted && !add_condition(condition, true)) return std::nullopt;
+      rule.conditions.push_back(shared->second);
     }
-    if (!close()) return std::nullopt;
+    if (!add_unshared()) return std::nullopt;
   }
-  if (set.cost_ > budget.cost) {
-    faults.push_back({0,
-                      "",
-                      {{},
-                       "all rules together may cost " + std::to_string(set.cost_) + " steps, at most " +
-                           std::to_string(budget.cost) + " are allowed"}});
+  if (set.max_steps_ > budget.max_steps) {
+    diagnostics.push_back({0,
+                           "",
+                           {{},
+                            "all rules together may cost " + std::to_string(set.max_steps_) +
+                                " steps, at most " + std::to_string(budget.max_steps) + " are allowed"}});
     return std::nullopt;
   }
   return set;
 }
 
-bool RuleSet::holds(const Part& part, Machine& machine, const Record& record, Failure& failure) const {
-  Value v;
-  if (part.slot < 0) {
-    failure = machine.run(part.program, record, v);
-    return failure == Failure::kNone && v.b;
+bool RuleSet::holds(const Condition& condition, Machine& machine, const Record& record,
+                    Failure& failure) const {
+  Value value;
+  if (condition.cache_slot < 0) {
+    failure = machine.run(condition.program, record, value);
+    return failure == Failure::kNone && value.as_bool;
   }
-  Machine::Known& k = machine.known(static_cast<std::size_t>(part.slot));
-  if (!k.worked_out) {
-    k.failure = machine.run(part.program, record, v);
-    k.holds = k.failure == Failure::kNone && v.b;
-    k.worked_out = true;
+  Machine::CachedCondition& cached = machine.cached_condition(static_cast<std::size_t>(condition.cache_slot));
+  if (!cached.evaluated) {
+    cached.failure = machine.run(condition.program, record, value);
+    cached.holds = cached.failure == Failure::kNone && value.as_bool;
+    cached.evaluated = true;
   }
-  failure = k.failure;
-  return k.holds;
+  failure = cached.failure;
+  return cached.holds;
 }
 
-RuleSet::Match RuleSet::match(Machine& machine, const Record& record, int from) const {
-  machine.forget(shared_);
-  // The candidates of each index, merged in the order of the rules.
-  std::array<std::pair<const std::uint32_t*, const std::uint32_t*>, kFields + 1> lists;
+RuleSet::Match RuleSet::match(Machine& machine, const Record& record, int first_rule) const {
+  machine.reset_cache(shared_condition_count_);
+  // Merges the ascending candidate lists of all indexes, which yields the candidates in the order of the
+  // rules.
+  std::array<std::pair<const std::uint32_t*, const std::uint32_t*>, kFieldCount + 1> lists;
   std::size_t count = 0;
-  const auto add = [&](Stretch s) {
-    const std::uint32_t* const end = candidates_.data() + s.to;
-    const std::uint32_t* const at =
-        std::lower_bound(candidates_.data() + s.from, end, static_cast<std::uint32_t>(from));
-    if (at != end) lists[count++] = {at, end};
+  const auto add_list = [&](CandidateRange range) {
+    const std::uint32_t* const end = candidates_.data() + range.end;
+    const std::uint32_t* const begin =
+        std::lower_bound(candidates_.data() + range.begin, end, static_cast<std::uint32_t>(first_rule));
+    if (begin != end) lists[count++] = {begin, end};
   };
-  if (each_.to > 0) add(each_);
-  for (const Index& index : indexes_) {
-    const Value& v = record.values[static_cast<std::size_t>(index.field)];
+  if (unindexed_.end > 0) add_list(unindexed_);
+  for (const FieldIndex& index : indexes_) {
+    const Value& value = record.values[static_cast<std::size_t>(index.field)];
     if (!index.texts.empty()) {
-      if (const auto f = index.texts.find(v.s.view()); f != index.texts.end()) add(f->second);
-    } else if (const auto f = index.words.find(v.u); f != index.words.end()) {
-      add(f->second);
+      if (const auto found = index.texts.find(value.as_text.view()); found != index.texts.end())
+        add_list(found->second);
+    } else if (const auto found = index.words.find(value.as_uint); found != index.words.end()) {
+      add_list(found->second);
     }
   }
-  Match m;
+  Match match;
   while (count > 0) {
     std::size_t least = 0;
     for (std::size_t i = 1; i < count; ++i) {
@@ -273,21 +293,22 @@
     const std::uint32_t rule = *lists[least].first++;
     if (lists[least].first == lists[least].second) lists[least] = lists[--count];
     Failure failure = Failure::kNone;
-    const auto& parts = rules_[rule].parts;
-    if (std::all_of(parts.begin(), parts.end(),
-                    [&](std::uint32_t p) { return holds(parts_[p], machine, record, failure); })) {
-      m.rule = static_cast<int>(rule);
-      return m;
+    const auto& conditions = rules_[rule].conditions;
+    if (std::all_of(conditions.begin(), conditions.end(), [&](std::uint32_t condition) {
+          return holds(conditions_[condition], machine, record, failure);
+        })) {
+      match.rule = static_cast<int>(rule);
+      return match;
     }
     if (failure != Failure::kNone) {
-      ++m.failures;
-      m.failed = static_cast<int>(rule);
-      m.failure = failure;
+      ++match.failure_count;
+      match.last_failed_rule = static_cast<int>(rule);
+      match.last_failure = failure;
     }
   }
-  return m;
+  return match;
 }
 
-std::string RuleSet::index_of(int rule) const { return found_by_[static_cast<std::size_t>(rule)]; }
+std::string RuleSet::index_field(int rule) const { return index_fields_[static_cast<std::size_t>(rule)]; }
 
 }  // namespace heronworks::expr
--- a/src/expr/schema.h
+++ b/src/expr/schema.h
@@ -1,5 +1,5 @@
-// The fields of a transaction and the functions of the language: one table each, from which checks, the
-// reference page and completion come.
+// Tables of the transaction's fields and of the language's functions. The type checker, the reference page
+// and shell completion are all derived from them.
 #pragma once
 
 #include <span>
@@ -11,21 +11,22 @@
 struct Field {
   const char* name;
   Type type;
-  std::size_t most;  // bytes, of texts
-  bool stable;       // the same for every try of a transaction
-  const char* doc;
+  std::size_t max_bytes;       // of a string
+  bool stable_across_retries;  // a retry of the transaction has the same value
+  const char* description;
 };
 
 // In the order of Record::values.
 std::span<const Field> fields();
-inline constexpr std::size_t kFields = 14;
+inline constexpr std::size_t kFieldCount = 14;
 int find_field(std::string_view name);  // -1: none
 
-// The values of one transaction. Texts must outlive the match.
+// The field values of one transaction. Strings are not owned; they must outlive the evaluation.
 struct Record {
-  std::array<Value, kFields> values;
+  std::array<Value, kFieldCount> values;
 };
 
+// Indexes Record::values.
 enum class FieldId : std::uint8_t {
   kVolume,
   kPlan,
@@ -43,13 +44,13 @@
   kTimeOfDay,
 };
 
-enum class Call : std::uint8_t {
+enum class FunctionId : std::uint8_t {
   kStartsWith,
   kEndsWith,
   kContains,
   kMatches,
   kLower,
-  kLength,
+  kByteSize,
   kHash,
   kMin,
   kMax,
@@ -64,21 +65,23 @@
 
 struct Function {
   const char* name;
-  Call call;
-  const char* signature;  // as the reference shows it
-  std::size_t least_args;
-  std::size_t most_args;
-  const char* doc;
+  FunctionId id;
+  const char* signature;  // for the reference page and for diagnostics
+  std::size_t min_args;
+  std::size_t max_args;
+  const char* description;
 };
 
 std::span<const Function> functions();
-const Function* find_function(std::string_view name);
+const Function* find_function(std::string_view name);  // nullptr: none
+
+// The field, function or keyword that `name` was probably meant to be; empty if none is similar.
+std::string suggest_name(std::string_view name);
 
-// The nearest of all names of fields, functions and words; empty if none is near.
-std::string nearest_name(std::string_view name);
+// The reference of fields and functions, in Markdown.
+std::string reference_markdown();
 
-// The pages for operators, in Markdown, and one name a line for completion.
-std::string reference();
-std::string completion();
+// The words that a shell may complete, one a line.
+std::string completion_words();
 
 }  // namespace heronworks::expr
--- a/src/expr/syntax.cpp
+++ b/src/expr/syntax.cpp
@@ -1,4 +1,3 @@
-// Lexer, parser and printer: see syntax.h.
 #include "expr/syntax.h"
 
 #include <algorithm>
@@ -13,266 +12,287 @@
 namespace heronworks::expr {
 namespace {
 
-enum class Token : std::uint8_t { kEnd, kConstant, kName, kSet, kSign, kBad };
+constexpr std::size_t kMaxShownColumns = 160;  // of a source line in a diagnostic
 
-struct Lexeme {
-  Token token = Token::kEnd;
-  Place place;
+enum class TokenKind : std::uint8_t { kEnd, kConstant, kName, kNetworkSet, kSymbol, kInvalid };
+
+struct Token {
+  TokenKind kind = TokenKind::kEnd;
+  SourceLocation location;
   std::string text;
   Constant constant;
 };
 
-bool name_start(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_'; }
-bool digit(char c) { return c >= '0' && c <= '9'; }
-bool name_part(char c) { return name_start(c) || digit(c); }
-
-// Whether it is UTF-8 of shortest form without surrogates or NUL; else the offset of what is not.
-std::optional<std::size_t> not_utf8(std::string_view s) {
-  for (std::size_t i = 0; i < s.size();) {
-    const auto c = static_cast<unsigned char>(s[i]);
-    std::size_t n = c < 0x80                 ? 1
-                    : c >= 0xc2 && c <= 0xdf ? 2
-                    : (c & 0xf0) == 0xe0     ? 3
-                    : c >= 0xf0 && c <= 0xf4 ? 4
-                                             : 0;
-    if (n == 0 || c == 0 || i + n > s.size()) return i;
-    std::uint32_t code = n == 1 ? c : c & (0xff >> (n + 1));
-    for (std::size_t k = 1; k < n; ++k) {
-      const auto d = static_cast<unsigned char>(s[i + k]);
-      if ((d & 0xc0) != 0x80) return i;
-      code = code << 6 | (d & 0x3f);
+bool is_name_start(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_'; }
+bool is_digit(char c) { return c >= '0' && c <= '9'; }
+bool is_name_part(char c) { return is_name_start(c) || is_digit(c); }
+
+// The offset of the first NUL byte, overlong encoding, surrogate or other invalid UTF-8; nothing if there is
+// none.
+std::optional<std::size_t> find_invalid_utf8(std::string_view text) {
+  for (std::size_t offset = 0; offset < text.size();) {
+    const auto lead = static_cast<unsigned char>(text[offset]);
+    std::size_t length = lead < 0x80                    ? 1
+                         : lead >= 0xc2 && lead <= 0xdf ? 2
+                         : (lead & 0xf0) == 0xe0        ? 3
+                         : lead >= 0xf0 && lead <= 0xf4 ? 4
+                                                        : 0;
+    if (length == 0 || lead == 0 || offset + length > text.size()) return offset;
+    std::uint32_t code_point = length == 1 ? lead : lead & (0xff >> (length + 1));
+    for (std::size_t k = 1; k < length; ++k) {
+      const auto continuation = static_cast<unsigned char>(text[offset + k]);
+      if ((continuation & 0xc0) != 0x80) return offset;
+      code_point = code_point << 6 | (continuation & 0x3f);
     }
-    if ((n == 3 && (code < 0x800 || (code >= 0xd800 && code < 0xe000))) ||
-        (n == 4 && (code < 0x10000 || code > 0x10ffff)))
-      return i;
-    i += n;
+    if ((length == 3 && (code_point < 0x800 || (code_point >= 0xd800 && code_point < 0xe000))) ||
+        (length == 4 && (code_point < 0x10000 || code_point > 0x10ffff)))
+      return offset;
+    offset += length;
   }
   return std::nullopt;
 }
 
 class Lexer {
  public:
-  Lexer(std::string_view source, std::vector<Fault>& faults) : source_(source), faults_(faults) {}
-
-  Lexeme next() {
-    // Spaces, and comments to the end of their line. Danger: as many as a source holds, so no call for each.
-    for (bool comment = false; at_ < source_.size(); ++at_) {
-      comment = source_[at_] != '\n' && (comment || source_[at_] == '#');
-      if (!comment && std::strchr(" \t\r\n", source_[at_]) == nullptr) break;
+  Lexer(std::string_view source, std::vector<Diagnostic>& diagnostics)
+      : source_(source), diagnostics_(diagnostics) {}
+
+  Token next() {
+    // Skips white space and comments. A loop, since recursion per comment could overflow the stack.
+    for (bool comment = false; position_ < source_.size(); ++position_) {
+      comment = source_[position_] != '\n' && (comment || source_[position_] == '#');
+      if (!comment && std::strchr(" \t\r\n", source_[position_]) == nullptr) break;
     }
-    Lexeme l;
-    l.place.offset = at_;
-    if (at_ >= source_.size()) return l;
-    const char c = source_[at_];
-    if (digit(c)) return number(l);
-    if (c == '"' || c == '\'') return string(l, kString);
-    if (c == 'b' && at_ + 1 < source_.size() && (source_[at_ + 1] == '"' || source_[at_ + 1] == '\'')) {
-      ++at_;
-      return string(l, kBytes);
+    Token token;
+    token.location.offset = position_;
+    if (position_ >= source_.size()) return token;
+    const char c = source_[position_];
+    if (is_digit(c)) return read_number(token);
+    if (c == '"' || c == '\'') return read_string(token, kString);
+    if (c == 'b' && position_ + 1 < source_.size() &&
+        (source_[position_ + 1] == '"' || source_[position_ + 1] == '\'')) {
+      ++position_;
+      return read_string(token, kBytes);
     }
-    if (name_start(c)) return word(l);
+    if (is_name_start(c)) return read_word(token);
     if (c == '$') {
-      const std::size_t from = ++at_;
-      while (at_ < source_.size() && name_part(source_[at_])) ++at_;
-      l.token = Token::kSet;
-      l.text = source_.substr(from, at_ - from);
-      if (l.text.empty()) fault(l.place, "a name of a set is expected after $"), l.token = Token::kBad;
-      return l;
+      const std::size_t start = ++position_;
+      while (position_ < source_.size() && is_name_part(source_[position_])) ++position_;
+      token.kind = TokenKind::kNetworkSet;
+      token.text = source_.substr(start, position_ - start);
+      if (token.text.empty())
+        report(token.location, "expected the name of a network set after '$'"),
+            token.kind = TokenKind::kInvalid;
+      return token;
     }
-    for (const char* sign : {"||", "&&", "==", "!=", "<=", ">=", "..", "<", ">", "+", "-", "*",
-                             "/",  "%",  "!",  "?",  ":",  "(",  ")",  "[", "]", ",", ";", "="}) {
-      if (source_.substr(at_, std::strlen(sign)) != sign) continue;
-      at_ += std::strlen(sign);
-      l.token = Token::kSign;
-      l.text = sign;
-      return l;
+    for (const char* symbol : {"||", "&&", "==", "!=", "<=", ">=", "..", "<", ">", "+", "-", "*",
+                               "/",  "%",  "!",  "?",  ":",  "(",  ")",  "[", "]", ",", ";", "="}) {
+      if (source_.substr(position_, std::strlen(symbol)) != symbol) continue;
+      position_ += std::strlen(symbol);
+      token.kind = TokenKind::kSymbol;
+      token.text = symbol;
+      return token;
     }
-    fault(l.place, c == '&' || c == '|'
-                       ? std::string("a single '") + c + "' is no operator; did you mean " + c + c + "?"
-                       : "a character that has no place here");
-    ++at_;
-    l.token = Token::kBad;
-    return l;
+    report(token.location, c == '&' || c == '|'
+                               ? std::string("unknown operator '") + c + "'; did you mean " + c + c + "?"
+                               : "unexpected character");
+    ++position_;
+    token.kind = TokenKind::kInvalid;
+    return token;
   }
 
  private:
-  void fault(Place p, std::string text) { faults_.push_back({p, std::move(text)}); }
-
-  Lexeme bad(Lexeme l, std::string text) {
-    fault(l.place, std::move(text));
-    l.token = Token::kBad;
-    return l;
-  }
-
-  Lexeme word(Lexeme l) {
-    const std::size_t from = at_;
-    while (at_ < source_.size() &&
-           (name_part(source_[at_]) ||
-            (source_[at_] == '.' && at_ + 1 < source_.size() && name_start(source_[at_ + 1]))))
-      ++at_;
-    l.text = source_.substr(from, at_ - from);
-    l.token = Token::kName;
-    if (l.text == "true" || l.text == "false") {
-      l.token = Token::kConstant;
-      l.constant.type = kBool;
-      l.constant.value = Value(l.text == "true");
+  void report(SourceLocation location, std::string message) {
+    diagnostics_.push_back({location, std::move(message)});
+  }
+
+  // Reports an error at the token and marks it invalid.
+  Token reject(Token token, std::string message) {
+    report(token.location, std::move(message));
+    token.kind = TokenKind::kInvalid;
+    return token;
+  }
+
+  Token read_word(Token token) {
+    const std::size_t start = position_;
+    while (position_ < source_.size() && (is_name_part(source_[position_]) ||
+                                          (source_[position_] == '.' && position_ + 1 < source_.size() &&
+                                           is_name_start(source_[position_ + 1]))))
+      ++position_;
+    token.text = source_.substr(start, position_ - start);
+    token.kind = TokenKind::kName;
+    if (token.text == "true" || token.text == "false") {
+      token.kind = TokenKind::kConstant;
+      token.constant.type = kBool;
+      token.constant.value = Value(token.text == "true");
     }
-    return l;
+    return token;
   }
 
-  // 12, 12u, 1.5, 300ms, 4KiB.
-  Lexeme number(Lexeme l) {
-    const std::size_t from = at_;
+  // Reads a literal such as 12, 12u, 0x1f, 1.5, 300ms or 4KiB.
+  Token read_number(Token token) {
+    const std::size_t start = position_;
     bool fraction = false;
-    if (source_.substr(at_, 2) == "0x") {
-      at_ += 2;
-      while (at_ < source_.size() && std::isxdigit(static_cast<unsigned char>(source_[at_])) != 0) ++at_;
+    if (source_.substr(position_, 2) == "0x") {
+      position_ += 2;
+      while (position_ < source_.size() && std::isxdigit(static_cast<unsigned char>(source_[position_])) != 0)
+        ++position_;
     } else {
-      while (at_ < source_.size() && digit(source_[at_])) ++at_;
-      if (at_ + 1 < source_.size() && source_[at_] == '.' && digit(source_[at_ + 1])) {
+      while (position_ < source_.size() && is_digit(source_[position_])) ++position_;
+      if (position_ + 1 < source_.size() && source_[position_] == '.' && is_digit(source_[position_ + 1])) {
         fraction = true;
-        ++at_;
-        while (at_ < source_.size() && digit(source_[at_])) ++at_;
+        ++position_;
+        while (position_ < source_.size() && is_digit(source_[position_])) ++position_;
       }
     }
-    const std::string_view digits = source_.substr(from, at_ - from);
-    const std::size_t unit_from = at_;
-    while (at_ < source_.size() && name_part(source_[at_])) ++at_;
-    const std::string unit(source_.substr(unit_from, at_ - unit_from));
-    l.token = Token::kConstant;
-    Constant& c = l.constant;
+    const std::string_view digits = source_.substr(start, position_ - start);
+    const std::size_t unit_start = position_;
+    while (position_ < source_.size() && is_name_part(source_[position_])) ++position_;
+    const std::string unit(source_.substr(unit_start, position_ - unit_start));
+    token.kind = TokenKind::kConstant;
+    Constant& constant = token.constant;
     if (fraction) {
-      double d = 0;
+      double number = 0;
       const auto end = digits.data() + digits.size();
-      if (std::from_chars(digits.data(), end, d).ec != std::errc())
-        return bad(l, "a number that is too large");
-      if (!unit.empty()) return bad(l, "a fraction has no unit; write the next smaller one");
-      c.type = kDouble;
-      c.value = Value(d);
-      return l;
+      if (std::from_chars(digits.data(), end, number).ec != std::errc())
+        return reject(token, "number does not fit in a double");
+      if (!unit.empty())
+        return reject(token, "a number with a fraction cannot have a unit; use a smaller unit");
+      constant.type = kDouble;
+      constant.value = Value(number);
+      return token;
     }
-    std::uint64_t u = 0;
+    std::uint64_t integer = 0;
     const bool hex = digits.size() > 1 && digits[1] == 'x';
-    const auto start = digits.data() + (hex ? 2 : 0);
+    const auto first_digit = digits.data() + (hex ? 2 : 0);
     const auto end = digits.data() + digits.size();
-    const auto [stop, error] = std::from_chars(start, end, u, hex ? 16 : 10);
-    if (error != std::errc() || stop != end) return bad(l, "a whole number of at most 64 bits is expected");
-    static constexpr std::pair<const char*, std::int64_t> kTimes[] = {
+    const auto [stop, error] = std::from_chars(first_digit, end, integer, hex ? 16 : 10);
+    if (error != std::errc() || stop != end) return reject(token, "expected an integer of at most 64 bits");
+    static constexpr std::pair<const char*, std::int64_t> kDurationUnits[] = {
         {"ns", 1},          {"us", 1000},         {"ms", 1000000},      {"s", 1000000000},
         {"m", 60000000000}, {"h", 3600000000000}, {"d", 86400000000000}};
-    static constexpr std::pair<const char*, std::uint64_t> kSizes[] = {
+    static constexpr std::pair<const char*, std::uint64_t> kSizeUnits[] = {
         {"B", 1}, {"KiB", 1ULL << 10}, {"MiB", 1ULL << 20}, {"GiB", 1ULL << 30}, {"TiB", 1ULL << 40}};
     if (unit == "u") {
-      c.type = kUint;
-      c.value = Value(u);
-      return l;
+      constant.type = kUint;
+      constant.value = Value(integer);
+      return token;
     }
-    for (const auto& [name, factor] : kTimes) {
+    for (const auto& [name, factor] : kDurationUnits) {
       if (unit != name) continue;
-      std::int64_t ns = 0;
-      if (u > INT64_MAX || __builtin_mul_overflow(static_cast<std::int64_t>(u), factor, &ns))
-        return bad(l, "a duration that is too long");
-      c.type = kDuration;
-      c.value = Value(ns);
-      return l;
+      std::int64_t nanoseconds = 0;
+      if (integer > INT64_MAX ||
+          __builtin_mul_overflow(static_cast<std::int64_t>(integer), factor, &nanoseconds))
+        return reject(token, "duration does not fit in 63 bits of nanoseconds");
+      constant.type = kDuration;
+      constant.value = Value(nanoseconds);
+      return token;
     }
-    for (const auto& [name, factor] : kSizes) {
+    for (const auto& [name, factor] : kSizeUnits) {
       if (unit != name) continue;
       std::uint64_t bytes = 0;
-      if (__builtin_mul_overflow(u, factor, &bytes)) return bad(l, "a size that is too large");
-      c.type = kSize;
-      c.value = Value(bytes);
-      return l;
+      if (__builtin_mul_overflow(integer, factor, &bytes))
+        return reject(token, "size does not fit in 64 bits of bytes");
+      constant.type = kSize;
+      constant.value = Value(bytes);
+      return token;
     }
     if (!unit.empty())
-      return bad(l,
-                 "unknown unit '" + unit + "'; u, ns, us, ms, s, m, h, d, B, KiB, MiB, GiB, TiB are known");
-    if (u > INT64_MAX) return bad(l, "an int of more than 63 bits; write 'u' after it for a uint");
-    c.type = kInt;
-    c.value = Value(static_cast<std::int64_t>(u));
-    return l;
+      return reject(
+          token, "unknown unit '" + unit + "'; expected u, ns, us, ms, s, m, h, d, B, KiB, MiB, GiB or TiB");
+    if (integer > INT64_MAX) return reject(token, "int does not fit in 63 bits; append 'u' for a uint");
+    constant.type = kInt;
+    constant.value = Value(static_cast<std::int64_t>(integer));
+    return token;
   }
 
-  Lexeme string(Lexeme l, Type type) {
-    const char quote = source_[at_++];
+  Token read_string(Token token, Type type) {
+    const char quote = source_[position_++];
     std::string out;
     while (true) {
-      if (at_ >= source_.size() || source_[at_] == '\n') return bad(l, "the text has no end on its line");
-      const char c = source_[at_++];
+      if (position_ >= source_.size() || source_[position_] == '\n')
+        return reject(token, "unterminated string literal");
+      const char c = source_[position_++];
       if (c == quote) break;
       if (c != '\\') {
         out += c;
         continue;
       }
-      const char e = at_ < source_.size() ? source_[at_++] : '\0';
-      if (e == 'n') out += '\n';
-      else if (e == 't') out += '\t';
-      else if (e == 'r') out += '\r';
-      else if (e == '\\' || e == '"' || e == '\'') out += e;
-      else if (e == 'x') {
-        unsigned v = 0;
-        const auto from = source_.data() + at_;
-        if (at_ + 2 > source_.size() || std::from_chars(from, from + 2, v, 16).ptr != from + 2)
-          return bad(l, "two hexadecimal digits are expected after \\x");
-        at_ += 2;
-        out += static_cast<char>(v);
+      const char escaped = position_ < source_.size() ? source_[position_++] : '\0';
+      if (escaped == 'n') out += '\n';
+      else if (escaped == 't') out += '\t';
+      else if (escaped == 'r') out += '\r';
+      else if (escaped == '\\' || escaped == '"' || escaped == '\'') out += escaped;
+      else if (escaped == 'x') {
+        unsigned byte = 0;
+        const auto start = source_.data() + position_;
+        if (position_ + 2 > source_.size() || std::from_chars(start, start + 2, byte, 16).ptr != start + 2)
+          return reject(token, "expected two hexadecimal digits after \\x");
+        position_ += 2;
+        out += static_cast<char>(byte);
       } else {
-        return bad(l, "unknown escape; \\n \\t \\r \\\\ \\\" \\' \\xHH are known");
+        return reject(token, "unknown escape sequence; expected \\n, \\t, \\r, \\\\, \\\", \\' or \\xHH");
       }
     }
-    if (type == kString && not_utf8(out))
-      return bad(l, "a string must be UTF-8 without NUL; write b\"...\" for bytes");
-    l.token = Token::kConstant;
-    l.constant.type = type;
-    l.constant.bytes = std::move(out);
-    return l;
+    if (type == kString && find_invalid_utf8(out))
+      return reject(token, "a string must be valid UTF-8 without NUL; use b\"...\" for bytes");
+    token.kind = TokenKind::kConstant;
+    token.constant.type = type;
+    token.constant.bytes = std::move(out);
+    return token;
   }
 
   std::string_view source_;
-  std::vector<Fault>& faults_;
-  std::size_t at_ = 0;
+  std::vector<Diagnostic>& diagnostics_;
+  std::size_t position_ = 0;
 };
 
-struct Infix {
-  const char* sign;
-  Op op;
-  int power;
+struct InfixOperator {
+  const char* symbol;
+  Operator op;
+  int precedence;
 };
-// Weakest first. Comparisons do not chain.
-constexpr Infix kInfix[] = {{"||", Op::kOr, 2},      {"&&", Op::kAnd, 3},     {"==", Op::kEqual, 4},
-                            {"!=", Op::kUnequal, 4}, {"<", Op::kLess, 4},     {"<=", Op::kAtMost, 4},
-                            {">", Op::kGreater, 4},  {">=", Op::kAtLeast, 4}, {"in", Op::kIn, 4},
-                            {"+", Op::kAdd, 6},      {"-", Op::kSubtract, 6}, {"*", Op::kMultiply, 7},
-                            {"/", Op::kDivide, 7},   {"%", Op::kRemainder, 7}};
-constexpr int kComparison = 4;
-constexpr int kPrefix = 8;
+// In ascending precedence. Comparisons do not associate.
+constexpr InfixOperator kInfixOperators[] = {
+    {"||", Operator::kOr, 2},      {"&&", Operator::kAnd, 3},
+    {"==", Operator::kEqual, 4},   {"!=", Operator::kNotEqual, 4},
+    {"<", Operator::kLess, 4},     {"<=", Operator::kLessOrEqual, 4},
+    {">", Operator::kGreater, 4},  {">=", Operator::kGreaterOrEqual, 4},
+    {"in", Operator::kIn, 4},      {"+", Operator::kAdd, 6},
+    {"-", Operator::kSubtract, 6}, {"*", Operator::kMultiply, 7},
+    {"/", Operator::kDivide, 7},   {"%", Operator::kRemainder, 7}};
+constexpr int kComparisonPrecedence = 4;
+constexpr int kPrefixPrecedence = 8;
 
 class Parser {
  public:
-  Parser(std::string_view source, const Limits& limits, std::vector<Fault>& faults)
-      : lexer_(source, faults), limits_(limits), faults_(faults) {
+  Parser(std::string_view source, const Limits& limits, std::vector<Diagnostic>& diagnostics)
+      : lexer_(source, diagnostics), limits_(limits), diagnostics_(diagnostics) {
     advance();
   }
 
-  std::unique_ptr<Tree> whole() {
-    auto t = expression(0);
-    if (t && now_.token != Token::kEnd) return unexpected("an operator or the end is expected");
-    return t;
+  std::unique_ptr<AstNode> parse_all() {
+    auto node = parse_expression(0);
+    if (node && token_.kind != TokenKind::kEnd)
+      return report_unexpected("expected an operator or the end of the expression");
+    return node;
   }
 
  private:
-  void fault(Place p, std::string text) { faults_.push_back({p, std::move(text)}); }
-  void advance() { now_ = lexer_.next(); }
-
-  std::unique_ptr<Tree> unexpected(std::string expected) {
-    if (now_.token == Token::kBad) return nullptr;  // said already
-    std::string found = now_.token == Token::kEnd    ? "the expression ends"
-                        : now_.token == Token::kSign ? "'" + now_.text + "' stands here"
-                                                     : "";
-    if (now_.token == Token::kName) {
-      found = "'" + now_.text + "' stands here";
+  void report(SourceLocation location, std::string message) {
+    diagnostics_.push_back({location, std::move(message)});
+  }
+  void advance() { token_ = lexer_.next(); }
+
+  std::unique_ptr<AstNode> report_unexpected(std::string expected) {
+    if (token_.kind == TokenKind::kInvalid) return nullptr;  // reported by the lexer
+    std::string found = token_.kind == TokenKind::kEnd      ? "found the end of the expression"
+                        : token_.kind == TokenKind::kSymbol ? "found '" + token_.text + "'"
+                                                            : "";
+    if (token_.kind == TokenKind::kName) {
+      found = "found '" + token_.text + "'";
       const std::string lower = [&] {
-        std::string s = now_.text;
+        std::string s = token_.text;
         std::transform(s.begin(), s.end(), s.begin(),
                        [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
         return s;
@@ -280,207 +300,218 @@
       if (lower == "and") found += "; did you mean &&?";
       else if (lower == "or") found += "; did you mean ||?";
       else if (lower == "like" || lower == "contains" || lower == "matches")
-        found += "; it is written as a function";
+        found += "; call it as a function";
       else if (lower == "is" || lower == "eq") found += "; did you mean ==?";
     }
-    if (now_.token == Token::kSign && now_.text == "=") found += "; did you mean ==?";
-    fault(now_.place, expected + (found.empty() ? "" : ", " + found));
+    if (token_.kind == TokenKind::kSymbol && token_.text == "=") found += "; did you mean ==?";
+    report(token_.location, expected + (found.empty() ? "" : ", " + found));
     return nullptr;
   }
 
-  bool sign(const char* text) {
-    if (now_.token != Token::kSign || now_.text != text) return false;
+  bool accept(const char* symbol) {
+    if (token_.kind != TokenKind::kSymbol || token_.text != symbol) return false;
     advance();
     return true;
   }
 
-  std::unique_ptr<Tree> make(Node node, Place place) {
-    auto t = std::make_unique<Tree>();
-    t->node = node;
-    t->place = place;
-    if (++nodes_ == limits_.nodes + 1) {
-      fault(place, "more than " + std::to_string(limits_.nodes) + " parts");
+  std::unique_ptr<AstNode> make_node(NodeKind kind, SourceLocation location) {
+    auto node = std::make_unique<AstNode>();
+    node->kind = kind;
+    node->location = location;
+    if (++node_count_ == limits_.max_nodes + 1) {
+      report(location, "expression has more than " + std::to_string(limits_.max_nodes) + " syntax nodes");
     }
-    return nodes_ > limits_.nodes ? nullptr : std::move(t);
+    return node_count_ > limits_.max_nodes ? nullptr : std::move(node);
   }
 
-  const Infix* infix() const {
-    for (const Infix& i : kInfix) {
-      if ((now_.token == Token::kSign || now_.token == Token::kName) && now_.text == i.sign) return &i;
+  const InfixOperator* current_infix_operator() const {
+    for (const InfixOperator& candidate : kInfixOperators) {
+      if ((token_.kind == TokenKind::kSymbol || token_.kind == TokenKind::kName) &&
+          token_.text == candidate.symbol)
+        return &candidate;
     }
     return nullptr;
   }
 
-  std::unique_ptr<Tree> expression(int power) {
-    if (++depth_ > limits_.nesting) {
-      if (depth_ == limits_.nesting + 1)
-        fault(now_.place, "nested deeper than " + std::to_string(limits_.nesting) + " levels");
+  std::unique_ptr<AstNode> parse_expression(int min_precedence) {
+    if (++depth_ > limits_.max_nesting) {
+      if (depth_ == limits_.max_nesting + 1)
+        report(token_.location,
+               "expression nested deeper than " + std::to_string(limits_.max_nesting) + " levels");
       return nullptr;
     }
-    auto t = operand();
+    auto node = parse_primary();
     bool compared = false;
-    while (t) {
-      if (power <= 1 && now_.token == Token::kSign && now_.text == "?") {
-        auto c = make(Node::kCondition, now_.place);
+    while (node) {
+      if (min_precedence <= 1 && token_.kind == TokenKind::kSymbol && token_.text == "?") {
+        auto conditional = make_node(NodeKind::kConditional, token_.location);
         advance();
-        auto a = expression(0);
-        if (!c || !a) return nullptr;
-        if (!sign(":")) return unexpected("':' of the condition is expected");
-        auto b = expression(1);
-        if (!b) return nullptr;
-        c->args.push_back(std::move(t));
-        c->args.push_back(std::move(a));
-        c->args.push_back(std::move(b));
-        t = std::move(c);
+        auto if_true = parse_expression(0);
+        if (!conditional || !if_true) return nullptr;
+        if (!accept(":")) return report_unexpected("expected ':' of the conditional");
+        auto if_false = parse_expression(1);
+        if (!if_false) return nullptr;
+        conditional->children.push_back(std::move(node));
+        conditional->children.push_back(std::move(if_true));
+        conditional->children.push_back(std::move(if_false));
+        node = std::move(conditional);
         continue;
       }
-      const Infix* i = infix();
-      if (!i || i->power <= power) break;
-      if (i->power == kComparison && std::exchange(compared, true)) {
-        fault(now_.place, "comparisons do not chain; join two with &&");
+      const InfixOperator* infix = current_infix_operator();
+      if (!infix || infix->precedence <= min_precedence) break;
+      if (infix->precedence == kComparisonPrecedence && std::exchange(compared, true)) {
+        report(token_.location, "comparisons cannot be chained; combine them with &&");
         return nullptr;
       }
-      auto b = make(Node::kBinary, now_.place);
+      auto binary = make_node(NodeKind::kBinary, token_.location);
       advance();
-      auto right = i->op == Op::kIn ? after_in() : expression(i->power);
-      if (!b || !right) return nullptr;
-      b->op = i->op;
-      b->args.push_back(std::move(t));
-      b->args.push_back(std::move(right));
-      t = std::move(b);
+      auto right = infix->op == Operator::kIn ? parse_in_operand() : parse_expression(infix->precedence);
+      if (!binary || !right) return nullptr;
+      binary->op = infix->op;
+      binary->children.push_back(std::move(node));
+      binary->children.push_back(std::move(right));
+      node = std::move(binary);
     }
     --depth_;
-    return t;
+    return node;
   }
 
-  // What stands after `in`: a range, or anything of stronger binding.
-  std::unique_ptr<Tree> after_in() {
-    auto from = expression(kComparison + 1);
-    if (!from || now_.token != Token::kSign || now_.text != "..") return from;
-    auto r = make(Node::kRange, now_.place);
+  // Parses the right operand of `in`: a range, or an expression that binds more strongly than `in`.
+  std::unique_ptr<AstNode> parse_in_operand() {
+    auto lower_bound = parse_expression(kComparisonPrecedence + 1);
+    if (!lower_bound || token_.kind != TokenKind::kSymbol || token_.text != "..") return lower_bound;
+    auto range = make_node(NodeKind::kRange, token_.location);
     advance();
-    auto to = expression(kComparison + 1);
-    if (!r || !to) return nullptr;
-    r->args.push_back(std::move(from));
-    r->args.push_back(std::move(to));
-    return r;
-  }
-
-  std::unique_ptr<Tree> operand() {
-    const Place place = now_.place;
-    if (now_.token == Token::kConstant) {
-      auto t = make(Node::kConstant, place);
-      if (!t) return nullptr;
-      t->constant = std::move(now_.constant);
+    auto upper_bound = parse_expression(kComparisonPrecedence + 1);
+    if (!range || !upper_bound) return nullptr;
+    range->children.push_back(std::move(lower_bound));
+    range->children.push_back(std::move(upper_bound));
+    return range;
+  }
+
+  std::unique_ptr<AstNode> parse_primary() {
+    const SourceLocation location = token_.location;
+    if (token_.kind == TokenKind::kConstant) {
+      auto node = make_node(NodeKind::kConstant, location);
+      if (!node) return nullptr;
+      node->constant = std::move(token_.constant);
       advance();
-      return t;
+      return node;
     }
-    if (now_.token == Token::kSet) {
-      auto t = make(Node::kSet, place);
-      if (!t) return nullptr;
-      t->text = now_.text;
+    if (token_.kind == TokenKind::kNetworkSet) {
+      auto node = make_node(NodeKind::kNetworkSet, location);
+      if (!node) return nullptr;
+      node->name = token_.text;
       advance();
-      return t;
+      return node;
     }
-    if (now_.token == Token::kName) return named();
-    for (const auto& [text, op] : {std::pair{"!", Op::kNot}, std::pair{"-", Op::kNegate}}) {
-      if (!sign(text)) continue;
-      auto t = make(Node::kUnary, place);
-      auto inner = expression(kPrefix);
-      if (!t || !inner) return nullptr;
-      t->op = op;
-      t->args.push_back(std::move(inner));
-      return t;
+    if (token_.kind == TokenKind::kName) return parse_named();
+    for (const auto& [prefix, op] : {std::pair{"!", Operator::kNot}, std::pair{"-", Operator::kNegate}}) {
+      if (!accept(prefix)) continue;
+      auto node = make_node(NodeKind::kUnary, location);
+      auto operand = parse_expression(kPrefixPrecedence);
+      if (!node || !operand) return nullptr;
+      node->op = op;
+      node->children.push_back(std::move(operand));
+      return node;
     }
-    if (sign("(")) {
-      auto t = expression(0);
-      if (!t) return nullptr;
-      if (!sign(")")) return unexpected("')' is expected");
-      return t;
+    if (accept("(")) {
+      auto node = parse_expression(0);
+      if (!node) return nullptr;
+      if (!accept(")")) return report_unexpected("expected ')'");
+      return node;
     }
-    if (sign("[")) {
-      auto t = make(Node::kList, place);
-      if (!t || !arguments(*t, "]", limits_.items)) return nullptr;
-      return t;
+    if (accept("[")) {
+      auto node = make_node(NodeKind::kList, location);
+      if (!node || !parse_items(*node, "]", limits_.max_items)) return nullptr;
+      return node;
     }
-    return unexpected("a value is expected");
+    return report_unexpected("expected a value");
   }
 
-  bool arguments(Tree& t, const char* end, std::size_t most) {
-    if (sign(end)) return true;
+  // Parses the items of a list or the arguments of a call, up to and including `end`.
+  bool parse_items(AstNode& node, const char* end, std::size_t max_items) {
+    if (accept(end)) return true;
     while (true) {
-      auto a = expression(0);
-      if (!a) return false;
-      t.args.push_back(std::move(a));
-      if (t.args.size() > most) return fault(t.place, "more than " + std::to_string(most) + " items"), false;
-      if (sign(end)) return true;
-      if (!sign(",")) return unexpected(std::string("',' or '") + end + "' is expected"), false;
+      auto item = parse_expression(0);
+      if (!item) return false;
+      node.children.push_back(std::move(item));
+      if (node.children.size() > max_items)
+        return report(node.location, "more than " + std::to_string(max_items) + " list items or arguments"),
+               false;
+      if (accept(end)) return true;
+      if (!accept(",")) return report_unexpected(std::string("expected ',' or '") + end + "'"), false;
     }
   }
 
-  std::unique_ptr<Tree> named() {
-    const Lexeme word = now_;
+  // Parses a let, a call, a field or an identifier.
+  std::unique_ptr<AstNode> parse_named() {
+    const Token word = token_;
     advance();
     if (word.text == "let") {
-      auto t = make(Node::kLet, word.place);
-      if (!t) return nullptr;
-      if (now_.token != Token::kName) return unexpected("a name is expected after let");
-      t->text = now_.text;
-      if (find_field(t->text) >= 0 || find_function(t->text) != nullptr || t->text == "in" ||
-          t->text == "let")
-        return fault(now_.place, "'" + t->text + "' has a meaning already"), nullptr;
+      auto node = make_node(NodeKind::kLet, word.location);
+      if (!node) return nullptr;
+      if (token_.kind != TokenKind::kName) return report_unexpected("expected a name after 'let'");
+      node->name = token_.text;
+      if (find_field(node->name) >= 0 || find_function(node->name) != nullptr || node->name == "in" ||
+          node->name == "let")
+        return report(token_.location, "'" + node->name + "' is the name of a field, function or keyword"),
+               nullptr;
       advance();
-      if (!sign("=")) return unexpected("'=' is expected");
-      auto value = expression(0);
+      if (!accept("=")) return report_unexpected("expected '='");
+      auto value = parse_expression(0);
       if (!value) return nullptr;
-      if (!sign(";")) return unexpected("';' is expected after a let");
-      auto body = expression(0);
+      if (!accept(";")) return report_unexpected("expected ';' after the value of 'let'");
+      auto body = parse_expression(0);
       if (!body) return nullptr;
-      t->args.push_back(std::move(value));
-      t->args.push_back(std::move(body));
-      return t;
+      node->children.push_back(std::move(value));
+      node->children.push_back(std::move(body));
+      return node;
     }
-    if (now_.token == Token::kSign && now_.text == "(") {
-      auto t = make(Node::kCall, word.place);
-      if (!t) return nullptr;
-      t->function = find_function(word.text);
-      if (!t->function) return unknown("function", word), nullptr;
+    if (token_.kind == TokenKind::kSymbol && token_.text == "(") {
+      auto node = make_node(NodeKind::kCall, word.location);
+      if (!node) return nullptr;
+      node->function = find_function(word.text);
+      if (!node->function) return report_unknown("function", word), nullptr;
       advance();
-      if (!arguments(*t, ")", limits_.items)) return nullptr;
-      if (t->args.size() < t->function->least_args || t->args.size() > t->function->most_args)
-        return fault(word.place, std::string("it is called as ") + t->function->signature), nullptr;
-      return t;
+      if (!parse_items(*node, ")", limits_.max_items)) return nullptr;
+      if (node->children.size() < node->function->min_args ||
+          node->children.size() > node->function->max_args)
+        return report(word.location, std::string("wrong arguments; expected ") + node->function->signature),
+               nullptr;
+      return node;
     }
-    if (word.text == "not") return fault(word.place, "did you mean !?"), nullptr;
+    if (word.text == "not") return report(word.location, "unknown operator 'not'; did you mean !?"), nullptr;
     const int field = find_field(word.text);
-    auto t = make(field >= 0 ? Node::kField : Node::kName, word.place);
-    if (!t) return nullptr;
-    t->field = field;
-    t->text = word.text;
-    return t;
+    auto node = make_node(field >= 0 ? NodeKind::kField : NodeKind::kIdentifier, word.location);
+    if (!node) return nullptr;
+    node->field = field;
+    node->name = word.text;
+    return node;
   }
 
-  void unknown(const char* what, const Lexeme& word) {
-    const std::string near = nearest_name(word.text);
-    fault(word.place, std::string("unknown ") + what + " '" + word.text + "'" +
-                          (near.empty() ? "" : "; did you mean " + near + "?"));
+  void report_unknown(const char* what, const Token& word) {
+    const std::string suggestion = suggest_name(word.text);
+    report(word.location, std::string("unknown ") + what + " '" + word.text + "'" +
+                              (suggestion.empty() ? "" : "; did you mean " + suggestion + "?"));
   }
 
   Lexer lexer_;
   const Limits& limits_;
-  std::vector<Fault>& faults_;
-  Lexeme now_;
+  std::vector<Diagnostic>& diagnostics_;
+  Token token_;
   std::size_t depth_ = 0;
-  std::size_t nodes_ = 0;
+  std::size_t node_count_ = 0;
 };
 
-std::string quoted(std::string_view bytes, bool raw) {
-  std::string out = raw ? "b\"" : "\"";
+// A literal of the language; `is_bytes` selects b"..." over "...".
+std::string quoted(std::string_view bytes, bool is_bytes) {
+  std::string out = is_bytes ? "b\"" : "\"";
   for (const char ch : bytes) {
     const auto c = static_cast<unsigned char>(ch);
     if (c == '"' || c == '\\') out += std::string("\\") + ch;
     else if (c == '\n') out += "\\n";
-    else if (c < 0x20 || c == 0x7f || (raw && c >= 0x80)) {
+    else if (c < 0x20 || c == 0x7f || (is_bytes && c >= 0x80)) {
       char hex[8];
       std::snprintf(hex, sizeof hex, "\\x%02x", c);
       out += hex;
@@ -491,207 +522,216 @@
   return out + "\"";
 }
 
-boost::asio::ip::address_v6 v6(const Address& a) {
+boost::asio::ip::address_v6 to_asio_address(const Address& address) {
   boost::asio::ip::address_v6::bytes_type bytes;
-  std::copy(a.begin(), a.end(), bytes.begin());
+  std::copy(address.begin(), address.end(), bytes.begin());
   return boost::asio::ip::address_v6(bytes);
 }
 
-std::string address_text(const Address& a) {
-  const auto six = v6(a);
-  return six.is_v4_mapped() ? boost::asio::ip::make_address_v4(boost::asio::ip::v4_mapped, six).to_string()
-                            : six.to_string();
+std::string address_to_string(const Address& address) {
+  const auto v6 = to_asio_address(address);
+  return v6.is_v4_mapped() ? boost::asio::ip::make_address_v4(boost::asio::ip::v4_mapped, v6).to_string()
+                           : v6.to_string();
 }
 
-Address mapped(const boost::asio::ip::address& address) {
+Address to_mapped_address(const boost::asio::ip::address& address) {
   const auto bytes =
       (address.is_v4() ? boost::asio::ip::make_address_v6(boost::asio::ip::v4_mapped, address.to_v4())
                        : address.to_v6())
           .to_bytes();
-  Address a;
-  std::copy(bytes.begin(), bytes.end(), a.begin());
-  return a;
+  Address mapped;
+  std::copy(bytes.begin(), bytes.end(), mapped.begin());
+  return mapped;
 }
 
 }  // namespace
 
 std::optional<Address> parse_address(std::string_view text) {
   boost::system::error_code error;
-  const auto a = boost::asio::ip::make_address(std::string(text), error);
+  const auto address = boost::asio::ip::make_address(std::string(text), error);
   if (error || text.find('%') != std::string_view::npos) return std::nullopt;
-  return mapped(a);
+  return to_mapped_address(address);
 }
 
 std::optional<std::pair<Address, std::uint8_t>> parse_network(std::string_view text) {
   boost::system::error_code error;
-  const auto four = boost::asio::ip::make_network_v4(std::string(text), error);
+  const auto v4 = boost::asio::ip::make_network_v4(std::string(text), error);
   if (!error) {
-    if (four.canonical().address() != four.address()) return std::nullopt;  // bits beyond the prefix
-    return std::pair{mapped(four.address()), static_cast<std::uint8_t>(96 + four.prefix_length())};
+    if (v4.canonical().address() != v4.address()) return std::nullopt;
+    return std::pair{to_mapped_address(v4.address()), static_cast<std::uint8_t>(96 + v4.prefix_length())};
   }
-  const auto six = boost::asio::ip::make_network_v6(std::string(text), error);
-  if (error || six.canonical().address() != six.address()) return std::nullopt;
-  return std::pair{mapped(six.address()), static_cast<std::uint8_t>(six.prefix_length())};
+  const auto v6 = boost::asio::ip::make_network_v6(std::string(text), error);
+  if (error || v6.canonical().address() != v6.address()) return std::nullopt;
+  return std::pair{to_mapped_address(v6.address()), static_cast<std::uint8_t>(v6.prefix_length())};
 }
 
-std::string Type::text() const {
+std::string Type::to_string() const {
   static constexpr const char* kNames[] = {"bool",  "int",      "uint", "double",  "string",
                                            "bytes", "duration", "size", "address", "network"};
-  const std::string one = kNames[static_cast<std::size_t>(base)];
+  const std::string scalar = kNames[static_cast<std::size_t>(base)];
   switch (shape) {
-    case Shape::kOne:
-      return one;
-    case Shape::kList:
-      return "list of " + one;
-    case Shape::kSet:
-      return "set of " + one;
-    case Shape::kRange:
-      return "range of " + one;
-  }
-  return one;
+    case TypeShape::kScalar:
+      return scalar;
+    case TypeShape::kList:
+      return "list of " + scalar;
+    case TypeShape::kSet:
+      return "set of " + scalar;
+    case TypeShape::kRange:
+      return "range of " + scalar;
+  }
+  return scalar;
 }
 
-bool Constant::operator==(const Constant& o) const {
-  if (type != o.type || bytes != o.bytes || prefix != o.prefix || items != o.items) return false;
-  if (type.shape != Shape::kOne) return true;
+bool Constant::operator==(const Constant& other) const {
+  if (type != other.type || bytes != other.bytes || prefix_length != other.prefix_length ||
+      items != other.items)
+    return false;
+  if (type.shape != TypeShape::kScalar) return true;
   switch (type.base) {
-    case Base::kBool:
-      return value.b == o.value.b;
-    case Base::kDouble:
-      return std::memcmp(&value.d, &o.value.d, sizeof value.d) == 0;
-    case Base::kString:
-    case Base::kBytes:
+    case BaseType::kBool:
+      return value.as_bool == other.value.as_bool;
+    case BaseType::kDouble:
+      return std::memcmp(&value.as_double, &other.value.as_double, sizeof value.as_double) == 0;
+    case BaseType::kString:
+    case BaseType::kBytes:
       return true;
-    case Base::kAddress:
-    case Base::kNetwork:
-      return value.a == o.value.a;
+    case BaseType::kAddress:
+    case BaseType::kNetwork:
+      return value.as_address == other.value.as_address;
     default:
-      return value.i == o.value.i;
+      return value.as_int == other.value.as_int;
   }
 }
 
-std::string Constant::text() const {
-  if (type.shape == Shape::kRange) return items[0].text() + ".." + items[1].text();
-  if (type.shape != Shape::kOne) {
+std::string Constant::to_source() const {
+  if (type.shape == TypeShape::kRange) return items[0].to_source() + ".." + items[1].to_source();
+  if (type.shape != TypeShape::kScalar) {
     std::string out = "[";
-    for (const Constant& c : items) out += (out.size() > 1 ? ", " : "") + c.text();
+    for (const Constant& item : items) out += (out.size() > 1 ? ", " : "") + item.to_source();
     return out + "]";
   }
   switch (type.base) {
-    case Base::kBool:
-      return value.b ? "true" : "false";
-    case Base::kInt:
-      return std::to_string(value.i);
-    case Base::kUint:
-      return std::to_string(value.u) + "u";
-    case Base::kDouble: {
-      char out[400];
-      const auto end = std::to_chars(out, out + sizeof out, value.d, std::chars_format::fixed).ptr;
-      const std::string s(out, end);
-      return s.find('.') == std::string::npos ? s + ".0" : s;
+    case BaseType::kBool:
+      return value.as_bool ? "true" : "false";
+    case BaseType::kInt:
+      return std::to_string(value.as_int);
+    case BaseType::kUint:
+      return std::to_string(value.as_uint) + "u";
+    case BaseType::kDouble: {
+      char digits[400];
+      const auto end =
+          std::to_chars(digits, digits + sizeof digits, value.as_double, std::chars_format::fixed).ptr;
+      const std::string number(digits, end);
+      return number.find('.') == std::string::npos ? number + ".0" : number;
     }
-    case Base::kString:
+    case BaseType::kString:
       return quoted(bytes, false);
-    case Base::kBytes:
+    case BaseType::kBytes:
       return quoted(bytes, true);
-    case Base::kDuration:
-      return std::to_string(value.i) + "ns";
-    case Base::kSize:
-      return std::to_string(value.u) + "B";
-    case Base::kAddress:
-      return "ip(\"" + address_text(value.a) + "\")";
-    case Base::kNetwork: {
-      const bool four = v6(value.a).is_v4_mapped() && prefix >= 96;
-      return "net(\"" + address_text(value.a) + "/" + std::to_string(four ? prefix - 96 : prefix) + "\")";
+    case BaseType::kDuration:
+      return std::to_string(value.as_int) + "ns";
+    case BaseType::kSize:
+      return std::to_string(value.as_uint) + "B";
+    case BaseType::kAddress:
+      return "ip(\"" + address_to_string(value.as_address) + "\")";
+    case BaseType::kNetwork: {
+      const bool is_v4 = to_asio_address(value.as_address).is_v4_mapped() && prefix_length >= 96;
+      return "net(\"" + address_to_string(value.as_address) + "/" +
+             std::to_string(is_v4 ? prefix_length - 96 : prefix_length) + "\")";
     }
   }
   return "";
 }
 
-const char* name(Op op) {
-  if (op == Op::kNot) return "!";
-  if (op == Op::kNegate) return "-";
-  for (const Infix& i : kInfix) {
-    if (i.op == op) return i.sign;
+const char* symbol(Operator op) {
+  if (op == Operator::kNot) return "!";
+  if (op == Operator::kNegate) return "-";
+  for (const InfixOperator& infix : kInfixOperators) {
+    if (infix.op == op) return infix.symbol;
   }
   return "?";
 }
 
-std::string Tree::print() const {
-  switch (node) {
-    case Node::kConstant:
-      return constant.text();
-    case Node::kField:
-    case Node::kName:
-      return text;
-    case Node::kSet:
-      return "$" + text;
-    case Node::kUnary:
-      return std::string(name(op)) + "(" + args[0]->print() + ")";
-    case Node::kBinary: {
-      const std::string right =
-          args[1]->node == Node::kRange ? args[1]->print() : "(" + args[1]->print() + ")";
-      return "(" + args[0]->print() + ") " + name(op) + " " + right;
+std::string AstNode::to_source() const {
+  switch (kind) {
+    case NodeKind::kConstant:
+      return constant.to_source();
+    case NodeKind::kField:
+    case NodeKind::kIdentifier:
+      return name;
+    case NodeKind::kNetworkSet:
+      return "$" + name;
+    case NodeKind::kUnary:
+      return std::string(symbol(op)) + "(" + children[0]->to_source() + ")";
+    case NodeKind::kBinary: {
+      const std::string right = children[1]->kind == NodeKind::kRange ? children[1]->to_source()
+                                                                      : "(" + children[1]->to_source() + ")";
+      return "(" + children[0]->to_source() + ") " + symbol(op) + " " + right;
     }
-    case Node::kRange:
-      return "(" + args[0]->print() + ")..(" + args[1]->print() + ")";
-    case Node::kCondition:
-      return "(" + args[0]->print() + ") ? (" + args[1]->print() + ") : (" + args[2]->print() + ")";
-    case Node::kLet:
-      return "let " + text + " = " + args[0]->print() + "; " + args[1]->print();
-    case Node::kCall:
-    case Node::kList: {
-      std::string out = node == Node::kCall ? std::string(function->name) + "(" : "[";
-      for (std::size_t i = 0; i < args.size(); ++i) out += (i > 0 ? ", " : "") + args[i]->print();
-      return out + (node == Node::kCall ? ")" : "]");
+    case NodeKind::kRange:
+      return "(" + children[0]->to_source() + ")..(" + children[1]->to_source() + ")";
+    case NodeKind::kConditional:
+      return "(" + children[0]->to_source() + ") ? (" + children[1]->to_source() + ") : (" +
+             children[2]->to_source() + ")";
+    case NodeKind::kLet:
+      return "let " + name + " = " + children[0]->to_source() + "; " + children[1]->to_source();
+    case NodeKind::kCall:
+    case NodeKind::kList: {
+      std::string out = kind == NodeKind::kCall ? std::string(function->name) + "(" : "[";
+      for (std::size_t i = 0; i < children.size(); ++i) out += (i > 0 ? ", " : "") + children[i]->to_source();
+      return out + (kind == NodeKind::kCall ? ")" : "]");
     }
   }
   return "";
 }
 
-bool Tree::same(const Tree& o) const {
-  if (node != o.node || args.size() != o.args.size() || text != o.text || field != o.field ||
-      function != o.function)
+bool AstNode::equals(const AstNode& other) const {
+  if (kind != other.kind || children.size() != other.children.size() || name != other.name ||
+      field != other.field || function != other.function)
     return false;
-  if ((node == Node::kUnary || node == Node::kBinary) && op != o.op) return false;
-  if (node == Node::kConstant && !(constant == o.constant)) return false;
-  for (std::size_t i = 0; i < args.size(); ++i) {
-    if (!args[i]->same(*o.args[i])) return false;
+  if ((kind == NodeKind::kUnary || kind == NodeKind::kBinary) && op != other.op) return false;
+  if (kind == NodeKind::kConstant && !(constant == other.constant)) return false;
+  for (std::size_t i = 0; i < children.size(); ++i) {
+    if (!children[i]->equals(*other.children[i])) return false;
   }
   return true;
 }
 
-std::unique_ptr<Tree> parse(std::string_view source, const Limits& limits, std::vector<Fault>& faults) {
-  if (source.size() > limits.source) {
-    faults.push_back({{},
-                      std::to_string(source.size()) + " bytes, at most " + std::to_string(limits.source) +
-                          " are allowed"});
+std::unique_ptr<AstNode> parse(std::string_view source, const Limits& limits,
+                               std::vector<Diagnostic>& diagnostics) {
+  if (source.size() > limits.max_source_bytes) {
+    diagnostics.push_back({{},
+                           "expression has " + std::to_string(source.size()) + " bytes, at most " +
+                               std::to_string(limits.max_source_bytes) + " are allowed"});
     return nullptr;
   }
-  if (const auto at = not_utf8(source)) {
-    faults.push_back({{*at}, source[*at] == '\0' ? "a NUL byte" : "not UTF-8"});
+  if (const auto offset = find_invalid_utf8(source)) {
+    diagnostics.push_back(
+        {{*offset},
+         source[*offset] == '\0' ? "expression contains a NUL byte" : "expression is not valid UTF-8"});
     return nullptr;
   }
-  const std::size_t before = faults.size();
-  auto t = Parser(source, limits, faults).whole();
-  return faults.size() > before ? nullptr : std::move(t);
+  const std::size_t errors_before = diagnostics.size();
+  auto tree = Parser(source, limits, diagnostics).parse_all();
+  return diagnostics.size() > errors_before ? nullptr : std::move(tree);
 }
 
-std::string shown(std::string_view source, const Fault& fault) {
-  const std::size_t at = std::min(fault.place.offset, source.size());
-  const std::size_t start = at == 0 ? 0
-                            : source.rfind('\n', at - 1) == std::string_view::npos
-                                ? 0
-                                : source.rfind('\n', at - 1) + 1;
-  const std::size_t end = std::min(source.find('\n', at), source.size());
-  const auto line = 1 + std::count(source.begin(), source.begin() + static_cast<std::ptrdiff_t>(start), '\n');
-  std::string shown_line(source.substr(start, std::min<std::size_t>(end - start, 160)));
-  std::string caret;
-  for (std::size_t i = start; i < at && caret.size() < 160; ++i) {
-    if ((static_cast<unsigned char>(source[i]) & 0xc0) != 0x80) caret += source[i] == '\t' ? '\t' : ' ';
-  }
-  return "line " + std::to_string(line) + ", column " + std::to_string(caret.size() + 1) + ": " + fault.text +
-         "\n  " + shown_line + "\n  " + caret + "^";
+std::string format_diagnostic(std::string_view source, const Diagnostic& diagnostic) {
+  const std::size_t offset = std::min(diagnostic.location.offset, source.size());
+  const std::size_t line_start = offset == 0 ? 0
+                                 : source.rfind('\n', offset - 1) == std::string_view::npos
+                                     ? 0
+                                     : source.rfind('\n', offset - 1) + 1;
+  const std::size_t line_end = std::min(source.find('\n', offset), source.size());
+  const auto line_number =
+      1 + std::count(source.begin(), source.begin() + static_cast<std::ptrdiff_t>(line_start), '\n');
+  std::string line(source.substr(line_start, std::min(line_end - line_start, std::size_t{kMaxShownColumns})));
+  std::string padding;
+  for (std::size_t i = line_start; i < offset && padding.size() < kMaxShownColumns; ++i) {
+    if ((static_cast<unsigned char>(source[i]) & 0xc0) != 0x80) padding += source[i] == '\t' ? '\t' : ' ';
+  }
+  return "line " + std::to_string(line_number) + ", column " + std::to_string(padding.size() + 1) + ": " +
+         diagnostic.message + "\n  " + line + "\n  " + padding + "^";
 }
 
 }  // namespace heronworks::expr
--- a/src/expr/syntax.h
+++ b/src/expr/syntax.h
@@ -1,4 +1,5 @@
-// From text to a tree and back. A Pratt parser: docs/expressions.md weighs it against a parser library.
+// Syntax tree, parser and printer of the expression language. The parser is a Pratt parser;
+// docs/expressions.md compares it with a parser library.
 #pragma once
 
 #include <memory>
@@ -9,29 +10,29 @@
 
 namespace heronworks::expr {
 
-enum class Node : std::uint8_t {
+enum class NodeKind : std::uint8_t {
   kConstant,  // literal, or folded
   kField,
-  kName,  // of a let
-  kSet,   // a named set of networks, $name
+  kIdentifier,  // of a let or a definition
+  kNetworkSet,  // $name
   kUnary,
   kBinary,
-  kCondition,  // a ? b : c
+  kConditional,  // a ? b : c
   kCall,
   kLet,    // let name = a; b
   kList,   // [a, b]
   kRange,  // a..b, only after `in`
 };
 
-enum class Op : std::uint8_t {
+enum class Operator : std::uint8_t {
   kOr,
   kAnd,
   kEqual,
-  kUnequal,
+  kNotEqual,
   kLess,
-  kAtMost,
+  kLessOrEqual,
   kGreater,
-  kAtLeast,
+  kGreaterOrEqual,
   kIn,
   kAdd,
   kSubtract,
@@ -41,32 +42,35 @@
   kNot,
   kNegate,
 };
-const char* name(Op op);
+const char* symbol(Operator op);
 
-struct Tree {
-  Node node = Node::kConstant;
-  Place place;
-  Op op = Op::kOr;
+struct AstNode {
+  NodeKind kind = NodeKind::kConstant;
+  SourceLocation location;
+  Operator op = Operator::kOr;  // of a unary or binary node
   Constant constant;
-  int field = -1;
-  std::string text;  // of a name, a let or a set
+  int field = -1;    // index into fields()
+  std::string name;  // of a field, an identifier, a let or a network set
   const Function* function = nullptr;
-  std::vector<std::unique_ptr<Tree>> args;
+  std::vector<std::unique_ptr<AstNode>> children;
 
-  // Filled by check().
+  // Set by the type checker.
   Type type;
-  std::size_t most = 0;  // bytes that a text may have
-  int slot = -1;         // of a name: its let; of a set: its number
+  std::size_t max_bytes = 0;  // of a string or bytes value
+  int let_index = -1;         // of an identifier: its let among the enclosing ones, outermost first
 
-  std::string print() const;
-  bool same(const Tree& o) const;
+  // Fully parenthesized source, which parses to an equal tree.
+  std::string to_source() const;
+  bool equals(const AstNode& other) const;
 };
 
-// Nothing, and all faults that were found, if it is no expression.
-std::unique_ptr<Tree> parse(std::string_view source, const Limits& limits, std::vector<Fault>& faults);
+// Returns nullptr and appends to `diagnostics` if `source` is not a valid expression.
+std::unique_ptr<AstNode> parse(std::string_view source, const Limits& limits,
+                               std::vector<Diagnostic>& diagnostics);
 
-// "10.0.0.1", "::1"; "10.0.0.0/8".
+// Parses "10.0.0.1" or "::1".
 std::optional<Address> parse_address(std::string_view text);
+// Parses "10.0.0.0/8" into base address and prefix length of 128 bits. Rejects set bits beyond the prefix.
 std::optional<std::pair<Address, std::uint8_t>> parse_network(std::string_view text);
 
 }  // namespace heronworks::expr
--- a/src/gateway/match.cpp
+++ b/src/gateway/match.cpp
@@ -10,7 +10,7 @@
 
 std::vector<double> shares(const expr::RuleSet& rules) {
   std::vector<double> out;
-  for (std::size_t i = 0; i < rules.size(); ++i) out.push_back(rules.rule(static_cast<int>(i)).most_share);
+  for (std::size_t i = 0; i < rules.size(); ++i) out.push_back(rules.rule(static_cast<int>(i)).max_share);
   return out;
 }
 
@@ -106,21 +106,21 @@
   set(FieldId::kTry, Value(static_cast<std::uint64_t>(sqe.client_try())));
   local_time(wall, record);
 
-  gate_.landed(now);
+  gate_.count_transaction(now);
   int from = 0;
   while (true) {
     const auto found = rules().match(machine_, record, from);
-    m.failures += found.failures;
-    if (found.failed >= 0) m.failed = found.failed;
+    m.failures += found.failure_count;
+    if (found.last_failed_rule >= 0) m.failed = found.last_failed_rule;
     if (found.rule < 0) return;
-    if (gate_.passes(now, found.rule)) {
+    if (gate_.try_apply(now, found.rule)) {
       m.rule = found.rule;
       break;
     }
     from = found.rule + 1;
   }
   const expr::Rule& rule = rules().rule(m.rule);
-  m.turn_back = !rule.turn_back.empty();
+  m.turn_back = !rule.reject_reason.empty();
   if (rule.profile >= 0) m.transaction.profile = rule.profile;
   const auto failed = [&] {
     ++m.failures;
@@ -129,15 +129,15 @@
   Value v;
   if (rule.units) {
     // A number that no transaction may have is taken as a failure: the ordinary one stands.
-    if (machine_.run(*rule.units, record, v) != expr::Failure::kNone || v.u < 1 ||
-        v.u > config_.settings.largest_units)
+    if (machine_.run(*rule.units, record, v) != expr::Failure::kNone || v.as_uint < 1 ||
+        v.as_uint > config_.settings.largest_units)
       failed();
-    else m.transaction.units = static_cast<double>(v.u);
+    else m.transaction.units = static_cast<double>(v.as_uint);
   }
   if (rule.key) {
     if (machine_.run(*rule.key, record, v) != expr::Failure::kNone) return failed();
     m.transaction.has_key = true;
-    m.transaction.key = v.u;
+    m.transaction.key = v.as_uint;
   }
 }
 
--- a/src/gateway/match.h
+++ b/src/gateway/match.h
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "config/gateway_config.h"
-#include "expr/gate.h"
+#include "expr/share_limiter.h"
 #include "nvme/wire.h"
 #include "state.h"
 
@@ -42,7 +42,7 @@
                                nvme::Status& refused);
 
   const expr::RuleSet& rules() const { return config_.expr->set; }
-  const expr::Gate& gate() const { return gate_; }
+  const expr::ShareLimiter& gate() const { return gate_; }
 
  private:
   const config::Volumes* find(std::uint32_t nsid) const;
@@ -55,7 +55,7 @@
   std::vector<std::size_t> tenant_;  // of each range, a number under tenants_
   std::size_t tenants_ = 0;
   expr::Machine machine_;
-  expr::Gate gate_;
+  expr::ShareLimiter gate_;
   long minute_ = -1;  // of which the local time is known
   std::int64_t minute_of_day_ = 0;
   std::int64_t weekday_ = 1;
--- a/src/gateway/scheduler.cpp
+++ b/src/gateway/scheduler.cpp
@@ -147,7 +147,8 @@
   std::string out;
   for (std::size_t i = 0; i < matcher_.rules().size(); ++i) {
     const expr::Rule& r = matcher_.rules().rule(static_cast<int>(i));
-    if (!r.turn_back.empty()) out += std::to_string(i + 1) + "\t" + r.name + "\t" + r.turn_back + "\n";
+    if (!r.reject_reason.empty())
+      out += std::to_string(i + 1) + "\t" + r.name + "\t" + r.reject_reason + "\n";
   }
   return out;
 }
@@ -200,7 +201,7 @@
     if (!rule.labels.empty() || matched->turn_back) {
       nlohmann::json fields{{"rule", rule.name}, {"volume", c.sqe.nsid}, {"label", c.sqe.label()}};
       for (const auto& [name, value] : rule.labels) fields["labels"][name] = value;
-      if (matched->turn_back) fields["reason"] = rule.turn_back;
+      if (matched->turn_back) fields["reason"] = rule.reject_reason;
       log_.debug(loop_.now(), matched->turn_back ? "rule.turned_back" : "rule.marked", std::move(fields));
     }
     busy.crd = 3;
