--- a/src/gateway/list_watch.h
+++ b/src/gateway/list_watch.h
@@ -11,7 +11,7 @@
   Address address;
   int zone = 0;
   int shard = 0;
-  Listing listing = Listing::kReady;
+  NodeState listing = NodeState::kReady;
   std::uint64_t came_up = 0;  // ns since 1970; 0: long ago
 };
 
@@ -60,7 +60,7 @@
   bool fetching_ = false;
   bool again_ = false;  // the list changed while it was fetched
   bool event_out_ = false;
-  Loop::Timer timer_ = 0;
+  Loop::TimerId timer_ = 0;
 };
 
 }  // namespace heronworks::gateway
--- a/src/lab/node.cpp
+++ b/src/lab/node.cpp
@@ -34,7 +34,7 @@
       meter_(options.folder + "/meter", day),
       served_(volumes_.size()) {
   Fd fd = listen_on(options.listen);
-  if (!fd) throw std::runtime_error("cannot listen on " + options.listen.text());
+  if (!fd) throw std::runtime_error("cannot listen on " + options.listen.to_string());
   nvme::TargetOptions o;
   o.subsystem = kNodeSubsystem;
   o.mdts = 8;
@@ -49,8 +49,8 @@
   up.life = options.life;
   up.frac = speed_ * day.cores;
   record_.write(up);
-  if (day.pause_every > 0) loop_.at(loop_.now() + draw(0.3, 1) * day.pause_every, [this] { pause(); });
-  if (day.deferred > 0) loop_.at(loop_.now() + draw(0.3, 1) * day.flush_every, [this] { flush(); });
+  if (day.pause_every > 0) loop_.run_at(loop_.now() + draw(0.3, 1) * day.pause_every, [this] { pause(); });
+  if (day.deferred > 0) loop_.run_at(loop_.now() + draw(0.3, 1) * day.flush_every, [this] { flush(); });
 }
 
 double StandInNode::draw(double from, double to) {
@@ -68,10 +68,10 @@
 
 // The part of its capacity that a node has which came up a while ago.
 double StandInNode::frac() const {
-  if (!cold_ || !day_.settings.has_cold_rule) return 1;
-  const double age = (loop_.now() - came_up_) / day_.settings.cold_time;
-  return std::clamp(day_.settings.cold_share + (1 - day_.settings.cold_share) * age, day_.settings.cold_share,
-                    1.0);
+  if (!cold_ || !day_.settings.has_slow_start) return 1;
+  const double age = (loop_.now() - came_up_) / day_.settings.warmup_time;
+  return std::clamp(day_.settings.initial_capacity_share + (1 - day_.settings.initial_capacity_share) * age,
+                    day_.settings.initial_capacity_share, 1.0);
 }
 
 double StandInNode::slowness() const {
@@ -87,8 +87,9 @@
   const Act* more = acting(Trouble::kPauses);
   const double length = day_.pause_time * draw(0.5, 1.5) * (more ? more->size : 1);
   still_until_ = std::max(still_until_, loop_.now() + length);
-  loop_.at(still_until_, [this] { next(); });
-  loop_.at(loop_.now() + length + day_.pause_every * draw(0.5, 1.5) / (more ? 4 : 1), [this] { pause(); });
+  loop_.run_at(still_until_, [this] { next(); });
+  loop_.run_at(loop_.now() + length + day_.pause_every * draw(0.5, 1.5) / (more ? 4 : 1),
+               [this] { pause(); });
 }
 
 // What writes have put off is done in one go, by all cores.
@@ -96,9 +97,9 @@
   const double length = std::exchange(deferred_, 0) * slowness() / day_.cores;
   if (length > 0) {
     still_until_ = std::max(still_until_, loop_.now() + length);
-    loop_.at(still_until_, [this] { next(); });
+    loop_.run_at(still_until_, [this] { next(); });
   }
-  loop_.at(loop_.now() + length + day_.flush_every * draw(0.7, 1.3), [this] { flush(); });
+  loop_.run_at(loop_.now() + length + day_.flush_every * draw(0.7, 1.3), [this] { flush(); });
 }
 
 nvme::Status StandInNode::identify(std::uint8_t cns, std::uint8_t, std::uint32_t, nvme::Bytes&) {
@@ -180,8 +181,8 @@
   }
   const auto& profile = day_.settings.profiles[static_cast<std::size_t>(
       std::clamp(job.profile, 0, static_cast<int>(day_.settings.profiles.size()) - 1))];
-  if (profile.repeat == Repeat::kLabelled && job.write) {
-    std::erase_if(done_, [&](const auto& d) { return d.second.at < now - profile.label_window; });
+  if (profile.idempotency == Idempotency::kDeduplicated && job.write) {
+    std::erase_if(done_, [&](const auto& d) { return d.second.at < now - profile.dedup_window; });
     job.repeat = done_.contains({sqe.nsid, sqe.label()});
     if (job.repeat) job.cost *= 1 - day_.repeat_saving;
   }
@@ -195,15 +196,15 @@
 // Danger that the rule on cold nodes is about: too much work for a node that has just come up.
 bool StandInNode::pushed_over(double cost) {
   const Settings& s = day_.settings;
-  if (!s.has_cold_rule || frac() >= 1) return false;
+  if (!s.has_slow_start || frac() >= 1) return false;
   const double now = loop_.now();
   pushed_.push_back({now, cost});
-  while (pushed_.front().first < now - s.fall_time) pushed_.pop_front();
+  while (pushed_.front().first < now - s.overload_window) pushed_.pop_front();
   double sum = 0;
   for (const auto& [at, c] : pushed_) sum += c;
-  const double bears = s.tip_multiple * frac() * speed_ * day_.cores * s.fall_time;
+  const double bears = s.overload_multiple * frac() * speed_ * day_.cores * s.overload_window;
   // The rule's own safe number of units never pushes a node over.
-  if (sum <= std::max(bears, s.cold_units * day_.unit_time * 1.3)) return false;
+  if (sum <= std::max(bears, s.safe_start_units * day_.unit_time * 1.3)) return false;
   Event e;
   e.t = now;
   e.kind = Kind::kFell;
@@ -225,7 +226,7 @@
     if (now < still_until_) return;
     if (const Act* a = acting(Trouble::kHang)) {
       still_until_ = options_.start + a->to;
-      loop_.at(still_until_, [this] { next(); });
+      loop_.run_at(still_until_, [this] { next(); });
       return;
     }
     Job job = std::move(queue_.front());
@@ -240,7 +241,7 @@
       cost *= 1 - day_.deferred;
     }
     ++running_;
-    loop_.at(now + cost * slowness(), [this, held = std::make_shared<Job>(std::move(job))] {
+    loop_.run_at(now + cost * slowness(), [this, held = std::make_shared<Job>(std::move(job))] {
       --running_;
       ran(std::move(*held));
       next();
@@ -277,7 +278,8 @@
     e.hash = XXH3_64bits(job.c.data.data(), job.c.data.size());
     const auto& profile = day_.settings.profiles[static_cast<std::size_t>(
         std::clamp(job.profile, 0, static_cast<int>(day_.settings.profiles.size()) - 1))];
-    if (profile.repeat == Repeat::kLabelled) done_[{sqe.nsid, sqe.label()}] = {loop_.now(), result};
+    if (profile.idempotency == Idempotency::kDeduplicated)
+      done_[{sqe.nsid, sqe.label()}] = {loop_.now(), result};
   } else {
     const auto from = disk_.at(volume, sqe.slba(), sqe.blocks());
     data.assign(from->begin(), from->end());
@@ -307,7 +309,7 @@
   const Act* late = acting(Trouble::kReportsLate);
   const double at = loop_.now() - day_.meter_late - (late ? late->size : 0);
   const long second = static_cast<long>(at) - 1;
-  const double usual = day_.settings.plans[static_cast<std::size_t>(plan)].usual;
+  const double usual = day_.settings.plans[static_cast<std::size_t>(plan)].usual_rate;
   return static_cast<std::uint32_t>(std::min(1 + 100 * meter_.in_second(volume, second) / usual, 65535.0));
 }
 
