--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 PACKAGES := $(shell grep -v '^\#' packages.txt)
 DAY ?= examples/days/everything.toml
 
-.PHONY: demo test build bench fuzz packages
+.PHONY: demo test lint build bench fuzz packages
 
 packages:
 	@missing=$$(for p in $(PACKAGES); do dpkg -s $$p >/dev/null 2>&1 || echo $$p; done); \
@@ -17,6 +17,13 @@
 test: packages
 	cmake --workflow --preset tests
 
+# Formatter over all sources, linter over src/. The ledger's protobuf headers are generated first.
+lint: packages
+	git ls-files '*.cpp' '*.h' | xargs clang-format --dry-run --Werror
+	cmake --preset tests
+	cmake --build --preset tests --target heronworks_ledger_wire
+	run-clang-tidy -quiet -p build/tests -extra-arg=-Wno-unknown-warning-option '$(CURDIR)/src/'
+
 bench: build
 	bench/run.sh build/product
 
