--- a/bench/tenants.cpp
+++ b/bench/tenants.cpp
@@ -77,7 +77,7 @@
   q.nsid = 2;
   q.set_slba(lba);
   q.set_blocks(blocks);
-  q.set_label(label);
+  q.set_idempotency_key(label);
   q.set_time_left(left);
   const bool reads = op == nvme::opcode::kRead;
   auto data = reads ? nullptr : std::make_shared<const nvme::Bytes>(blocks * 4096);
@@ -116,7 +116,7 @@
     for (Server& v : servers) v.look();
     out.unread = std::max(out.unread, r.scheduler->unread());
     for (auto& [t, c] : quiet.answers) {
-      const double took = c.at - at[t];
+      const double took = c.arrived_at - at[t];
       if (!c.status().ok()) ++out.turned_back;
       else ++(took <= 0.5 ? out.in_time : out.late), out.took.push_back(took);
     }
@@ -143,7 +143,7 @@
       for (auto& c : clients) c->answers.clear();
     }
     for (auto& c : clients) {
-      while (c->host->has_room())
+      while (c->host->can_submit())
         command(*c, token, nvme::opcode::kRead, token % 2 * 64, 16, 0, token), ++token;
     }
   }
@@ -165,7 +165,8 @@
   Loop loop(r.clock);
   ScriptClient c(loop, r.scheduler->address());
   while (!c.host->ready()) loop.turn(0), r.loop.turn(0.001);
-  for (std::uint64_t n = 0; c.host->has_room(); ++n) command(c, n, nvme::opcode::kRead, n % 2 * 64, 64, 5, n);
+  for (std::uint64_t n = 0; c.host->can_submit(); ++n)
+    command(c, n, nvme::opcode::kRead, n % 2 * 64, 64, 5, n);
   std::size_t most = 0;
   const double end = r.clock.now() + 2;
   while (r.clock.now() < end) {
@@ -178,7 +179,7 @@
 void each(std::vector<ScriptClient*>& clients, std::uint64_t& token, std::size_t most,
           const std::function<void(ScriptClient&, std::uint64_t)>& one) {
   for (ScriptClient* c : clients) {
-    while (c->host->ready() && c->host->has_room() && c->host->out() < most) one(*c, token++);
+    while (c->host->ready() && c->host->can_submit() && c->host->outstanding() < most) one(*c, token++);
   }
 }
 
@@ -236,8 +237,8 @@
            k.reason.clear();
            nvme::HostOptions o;
            o.address = r.scheduler->address();
-           o.subsystem = "nqn.2026-11.org.heronworks:gateway";
-           o.keep_alive = 0;
+           o.subnqn = "nqn.2026-11.org.heronworks:gateway";
+           o.keep_alive_timeout = 0;
            k.host = std::make_unique<nvme::Host>(r.loop, o, k);
          }
        }},
--- a/src/gateway/list_watch.cpp
+++ b/src/gateway/list_watch.cpp
@@ -21,30 +21,31 @@
 
 }  // namespace
 
-std::optional<std::vector<ListedNode>> decode_list(nvme::View bytes, std::string& reason) {
+std::optional<std::vector<ListedNode>> decode_list(nvme::ByteView bytes, std::string& reason) {
   if (bytes.size() < sizeof(nvme::DiscoveryHeader)) return reason = "no header", std::nullopt;
   const auto header = nvme::read_as<nvme::DiscoveryHeader>(bytes);
-  if (header.format != 0) return reason = "record format not known", std::nullopt;
-  if (header.records > kMostNodes || bytes.size() < 1024 * (1 + header.records))
+  if (header.recfmt != 0) return reason = "record format not known", std::nullopt;
+  if (header.numrec > kMostNodes || bytes.size() < 1024 * (1 + header.numrec))
     return reason = "fewer bytes than the records announced", std::nullopt;
   std::vector<ListedNode> nodes;
-  for (std::size_t i = 0; i < header.records; ++i) {
+  for (std::size_t i = 0; i < header.numrec; ++i) {
     const auto e = nvme::read_as<nvme::DiscoveryEntry>(bytes.subspan(1024 * (i + 1)));
     const std::string where = "record " + std::to_string(i) + ": ";
-    if (e.transport != 3 || e.kind != 2) continue;  // other transports and referrals are not ours to follow
-    if (std::string(e.vendor.data(), 4) != "HWK1") return reason = where + "no vendor part", std::nullopt;
-    const std::string host = nvme::get_text(e.address);
-    const std::string port = nvme::get_text(e.service);
-    const auto address = Address::parse((e.family == 2 ? "[" + host + "]" : host) + ":" + port);
+    if (e.trtype != 3 || e.subtype != 2) continue;  // other transports and referrals are not ours to follow
+    if (std::string(e.vendor_signature.data(), 4) != "HWK1")
+      return reason = where + "no vendor part", std::nullopt;
+    const std::string host = nvme::get_text(e.traddr);
+    const std::string port = nvme::get_text(e.trsvcid);
+    const auto address = Address::parse((e.adrfam == 2 ? "[" + host + "]" : host) + ":" + port);
     if (!address) return reason = where + "no address", std::nullopt;
     if (e.shard >= kMostShards) return reason = where + "no such shard", std::nullopt;
-    if (e.listing < 1 || e.listing > 2) return reason = where + "unknown state", std::nullopt;
+    if (e.node_state < 1 || e.node_state > 2) return reason = where + "unknown state", std::nullopt;
     ListedNode n;
     n.address = *address;
     n.zone = e.zone;
     n.shard = static_cast<int>(e.shard);
-    n.listing = e.listing == 1 ? Listing::kReady : Listing::kDraining;
-    n.came_up = e.came_up;
+    n.listing = e.node_state == 1 ? Listing::kReady : Listing::kDraining;
+    n.came_up = e.started_at;
     nodes.push_back(std::move(n));
   }
   return nodes;
@@ -54,22 +55,22 @@
                         const std::string& subsystem) {
   nvme::Bytes bytes(1024 * (nodes.size() + 1));
   nvme::DiscoveryHeader header;
-  header.generation = generation;
-  header.records = nodes.size();
+  header.genctr = generation;
+  header.numrec = nodes.size();
   std::memcpy(bytes.data(), &header, sizeof header);
   for (std::size_t i = 0; i < nodes.size(); ++i) {
     const ListedNode& n = nodes[i];
     nvme::DiscoveryEntry e;
-    e.family = n.address.host.find(':') == std::string::npos ? 1 : 2;
-    e.port = static_cast<std::uint16_t>(i + 1);
-    nvme::put_text(e.service, std::to_string(n.address.port), ' ');
-    nvme::put_text(e.subsystem, subsystem);
-    nvme::put_text(e.address, n.address.host, ' ');
-    nvme::put_text(e.vendor, "HWK1");
-    e.listing = n.listing == Listing::kDraining ? 2 : 1;
+    e.adrfam = n.address.host.find(':') == std::string::npos ? 1 : 2;
+    e.portid = static_cast<std::uint16_t>(i + 1);
+    nvme::put_text(e.trsvcid, std::to_string(n.address.port), ' ');
+    nvme::put_text(e.subnqn, subsystem);
+    nvme::put_text(e.traddr, n.address.host, ' ');
+    nvme::put_text(e.vendor_signature, "HWK1");
+    e.node_state = n.listing == Listing::kDraining ? 2 : 1;
     e.zone = static_cast<std::uint16_t>(n.zone);
     e.shard = static_cast<std::uint32_t>(n.shard);
-    e.came_up = n.came_up;
+    e.started_at = n.came_up;
     std::memcpy(bytes.data() + 1024 * (i + 1), &e, sizeof e);
   }
   return bytes;
@@ -139,7 +140,7 @@
   if (event_out_) return;
   event_out_ = true;
   nvme::Sqe c;
-  c.opcode = nvme::opcode::kAsyncEvent;
+  c.opcode = nvme::opcode::kAsyncEventRequest;
   host_->submit_admin(kEvent, c, nullptr, 0);
 }
 
@@ -156,8 +157,8 @@
   page_.clear();
   nvme::Sqe c;
   c.opcode = nvme::opcode::kGetLogPage;
-  const std::uint32_t words = std::min(host_->transfer_limit(), std::uint32_t{1} << 18) / 4 - 1;
-  c.cdw10 = nvme::kLogDiscovery | words << 16;
+  const std::uint32_t words = std::min(host_->max_transfer_size(), std::uint32_t{1} << 18) / 4 - 1;
+  c.cdw10 = nvme::kLogPageDiscovery | words << 16;
   c.cdw11 = words >> 16;
   host_->submit_admin(kPage, c, nullptr, (words + 1) * 4);
 }
@@ -181,15 +182,15 @@
   page_.insert(page_.end(), completion.data.begin(), completion.data.end());
   if (page_.size() < sizeof(nvme::DiscoveryHeader)) return host_->close("the list is cut short");
   const auto header = nvme::read_as<nvme::DiscoveryHeader>(page_);
-  if (header.records > kMostNodes) return host_->close("the list is too long");
-  const std::size_t whole = 1024 * (1 + header.records);
+  if (header.numrec > kMostNodes) return host_->close("the list is too long");
+  const std::size_t whole = 1024 * (1 + header.numrec);
   if (page_.size() < whole) {
     nvme::Sqe c;
     c.opcode = nvme::opcode::kGetLogPage;
     const auto left = static_cast<std::uint32_t>(std::min<std::size_t>(
-        whole - page_.size(), std::min(host_->transfer_limit(), std::uint32_t{1} << 18)));
+        whole - page_.size(), std::min(host_->max_transfer_size(), std::uint32_t{1} << 18)));
     const std::uint32_t words = left / 4 - 1;
-    c.cdw10 = nvme::kLogDiscovery | words << 16;
+    c.cdw10 = nvme::kLogPageDiscovery | words << 16;
     c.cdw11 = words >> 16;
     c.cdw12 = static_cast<std::uint32_t>(page_.size());
     return host_->submit_admin(kPage, c, nullptr, left);
@@ -206,7 +207,7 @@
   if (again && host_ && host_->ready()) fetch();
 }
 
-void ListWatch::down(const std::string& reason) {
+void ListWatch::disconnected(const std::string& reason) {
   loop_.cancel(timer_);
   fetching_ = event_out_ = again_ = false;
   host_.reset();
--- a/src/gateway/list_watch.h
+++ b/src/gateway/list_watch.h
@@ -16,7 +16,7 @@
 };
 
 // Pure: a log page's bytes to entries and back. Nothing, with a reason, if they are not a list of ours.
-std::optional<std::vector<ListedNode>> decode_list(nvme::View bytes, std::string& reason);
+std::optional<std::vector<ListedNode>> decode_list(nvme::ByteView bytes, std::string& reason);
 nvme::Bytes encode_list(const std::vector<ListedNode>& nodes, std::uint64_t generation,
                         const std::string& subsystem);
 
@@ -42,7 +42,7 @@
 
   void ready() override;
   void completed(std::uint64_t token, nvme::Completion&& completion) override;
-  void down(const std::string& reason) override;
+  void disconnected(const std::string& reason) override;
 
  private:
   void fetch();
--- a/src/gateway/match.cpp
+++ b/src/gateway/match.cpp
@@ -78,9 +78,9 @@
   t.volume = first_index_[range] + static_cast<int>(sqe.nsid - sorted_[range].first);
   t.shard = append ? -1 : static_cast<int>(zone % config_.shards);
   // The key of a new object is its client's label; without one it has none.
-  t.has_key = !append || sqe.label() != 0;
+  t.has_key = !append || sqe.idempotency_key() != 0;
   // A place of one volume has one key of its own; the odd factor spreads volumes over all keys.
-  t.key = append ? sqe.label() : sqe.nsid * 0x9e3779b97f4a7c15ULL + lba / config_.key_blocks;
+  t.key = append ? sqe.idempotency_key() : sqe.nsid * 0x9e3779b97f4a7c15ULL + lba / config_.key_blocks;
   if (rules().size() > 0) by_rules(sqe, client, now, wall, m);
   return m;
 }
@@ -100,10 +100,10 @@
   set(FieldId::kLba, Value(append ? std::uint64_t{0} : sqe.slba()));
   set(FieldId::kBlocks, Value(std::uint64_t{sqe.blocks()}));
   set(FieldId::kLength, Value(std::uint64_t{sqe.blocks()} * config_.block_bytes));
-  set(FieldId::kLabel, Value(sqe.label()));
+  set(FieldId::kLabel, Value(sqe.idempotency_key()));
   set(FieldId::kClientName, Value(std::string_view(client.name)));
   set(FieldId::kClientAddress, Value(client.address));
-  set(FieldId::kTry, Value(static_cast<std::uint64_t>(sqe.client_try())));
+  set(FieldId::kTry, Value(static_cast<std::uint64_t>(sqe.client_attempt())));
   local_time(wall, record);
 
   gate_.landed(now);
--- a/src/gateway/match.h
+++ b/src/gateway/match.h
@@ -7,7 +7,7 @@
 
 #include "config/gateway_config.h"
 #include "expr/gate.h"
-#include "nvme/wire.h"
+#include "nvme/spec.h"
 #include "state.h"
 
 namespace heronworks::gateway {
--- a/src/gateway/node_link.cpp
+++ b/src/gateway/node_link.cpp
@@ -63,8 +63,9 @@
 bool NodeLink::worn_out() {
   if (!host_ || !host_->ready()) return false;
   const auto awaited = static_cast<std::ptrdiff_t>(sent_.size() - waiting_.size());
-  const bool lost = 2 * (static_cast<std::ptrdiff_t>(host_->out()) - awaited) >= options_.host.depth;
-  if (!lost && !host_->asked_late()) return false;
+  const bool lost =
+      2 * (static_cast<std::ptrdiff_t>(host_->outstanding()) - awaited) >= options_.host.io_queue_size;
+  if (!lost && !host_->data_requested_after_cancel()) return false;
   if (awaited == 0) {
     renewing_ = true;
     host_->close(lost ? "too many answers never came" : "data was asked for after its time");
@@ -74,7 +75,7 @@
 
 void NodeLink::pump() {
   if (worn_out()) return;
-  while (host_ && host_->ready() && host_->has_room() && host_->unsent() == 0 && !waiting_.empty()) {
+  while (host_ && host_->ready() && host_->can_submit() && host_->unsent_bytes() == 0 && !waiting_.empty()) {
     const auto token = waiting_.front();
     waiting_.pop_front();
     const auto found = sent_.find(token);
@@ -107,7 +108,7 @@
   const auto at = std::find(waiting_.begin(), waiting_.end(), token);
   const bool written = at == waiting_.end();
   if (!written) waiting_.erase(at);
-  else if (host_) host_->withdraw(token);
+  else if (host_) host_->cancel(token);
   auto node = sent_.extract(token);
   if (node) finish(std::move(node.mapped()), written ? Outcome::kTimedOut : Outcome::kNoConnection, {});
   pump();
@@ -121,7 +122,7 @@
   }
 }
 
-void NodeLink::down(const std::string& reason) {
+void NodeLink::disconnected(const std::string& reason) {
   owner_.link_changed(node_, "node.lost", reason);
   host_.reset();
   if (!std::exchange(renewing_, false)) return end_waiting(Outcome::kNoConnection);
@@ -131,10 +132,11 @@
 void NodeLink::drain() {
   draining_ = true;
   end_waiting(Outcome::kNoConnection);
-  if (!host_ || host_->unsent() == 0) return;
+  if (!host_ || host_->unsent_bytes() == 0) return;
   loop_.cancel(stuck_);
   stuck_ = loop_.at(loop_.now() + kDrainStuck, [this] {
-    if (draining_ && host_ && host_->unsent() > 0) host_->close("bytes stuck on the way to a draining node");
+    if (draining_ && host_ && host_->unsent_bytes() > 0)
+      host_->close("bytes stuck on the way to a draining node");
   });
 }
 
@@ -144,7 +146,8 @@
 
 void NodeLink::check_idle() {
   const double now = loop_.now();
-  if (host_ && sent_.empty() && host_->out() == 0 && (draining_ || now - used_at_ >= options_.idle_close)) {
+  if (host_ && sent_.empty() && host_->outstanding() == 0 &&
+      (draining_ || now - used_at_ >= options_.idle_close)) {
     host_.reset();
     owner_.link_changed(node_, "node.closed", draining_ ? "drained" : "idle");
   }
--- a/src/gateway/node_link.h
+++ b/src/gateway/node_link.h
@@ -53,8 +53,8 @@
 
   void ready() override;
   void completed(std::uint64_t token, nvme::Completion&& completion) override;
-  void down(const std::string& reason) override;
-  void progressed() override { pump(); }
+  void disconnected(const std::string& reason) override;
+  void output_drained() override { pump(); }
 
  private:
   struct Entry {
--- a/src/gateway/scheduler.cpp
+++ b/src/gateway/scheduler.cpp
@@ -17,11 +17,11 @@
 
 nvme::TargetOptions target_options(const config::GatewayConfig& c) {
   nvme::TargetOptions o;
-  o.subsystem = c.subsystem;
-  o.queue_size = static_cast<std::uint16_t>(c.queue_size);
-  o.most_connections = static_cast<std::size_t>(c.most_connections);
+  o.subnqn = c.subsystem;
+  o.max_queue_size = static_cast<std::uint16_t>(c.queue_size);
+  o.max_connections = static_cast<std::size_t>(c.most_connections);
   o.retry_delay = c.settings.max_wait / 16;
-  o.arrival = nvme::Arrival::kEarliest;
+  o.arrival_source = nvme::ArrivalSource::kEarliestPossible;
   // The largest transaction must fit: 4096 << mdts bytes.
   const double largest = c.settings.largest_units * c.unit_blocks * c.block_bytes;
   o.mdts = static_cast<std::uint8_t>(std::clamp(std::ceil(std::log2(largest / 4096)), 0.0, 12.0));
@@ -45,10 +45,10 @@
                (static_cast<std::uint64_t>((loop.now() + wall_offset_) * 1000) & 0x3fffffff) << 16;
   nvme::HostOptions list;
   list.address = config.list;
-  list.subsystem = config.list_subsystem;
-  list.host_name = config.host_name;
-  list.depth = 0;
-  list.keep_alive = config.keep_alive;
+  list.subnqn = config.list_subsystem;
+  list.hostnqn = config.host_name;
+  list.io_queue_size = 0;
+  list.keep_alive_timeout = config.keep_alive;
   list.digests = {config.digests, config.digests};
   list_ = std::make_unique<ListWatch>(loop, list, *this);
   control_ = std::make_unique<Control>(config.settings, *this, now());
@@ -98,7 +98,7 @@
 // All answered, and their bytes with the system.
 void Scheduler::check_drained() {
   if (!drained_) return;
-  bool waiting = target_->unsent() > 0 || !waiting_.empty();
+  bool waiting = target_->unsent_bytes() > 0 || !waiting_.empty();
   for (const Slot& s : slots_) waiting = waiting || (s.used && !s.answered);
   if (waiting) {
     draining_ = loop_.at(loop_.now() + 0.01, [this] { check_drained(); });
@@ -152,8 +152,8 @@
   return out;
 }
 
-void Scheduler::log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page,
-                         std::uint64_t offset, std::uint32_t length) {
+void Scheduler::get_log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page,
+                             std::uint64_t offset, std::uint32_t length) {
   if (page != kReasonsPage) {
     target_->complete(connection, cid, nvme::status::kInvalidLogPage);
     return;
@@ -165,7 +165,7 @@
   target_->complete(connection, cid, nvme::status::kOk, 0, bytes);
 }
 
-void Scheduler::command(nvme::Command&& c) {
+void Scheduler::execute_command(nvme::Command&& c) {
   const auto end = [&](nvme::Status status, std::uint64_t& count, std::uint64_t result = 0) {
     ++count;
     target_->complete(c.connection, c.sqe.cid, status, result);
@@ -198,7 +198,7 @@
   if (matched->rule >= 0) {
     const expr::Rule& rule = matcher_.rules().rule(matched->rule);
     if (!rule.labels.empty() || matched->turn_back) {
-      nlohmann::json fields{{"rule", rule.name}, {"volume", c.sqe.nsid}, {"label", c.sqe.label()}};
+      nlohmann::json fields{{"rule", rule.name}, {"volume", c.sqe.nsid}, {"label", c.sqe.idempotency_key()}};
       for (const auto& [name, value] : rule.labels) fields["labels"][name] = value;
       if (matched->turn_back) fields["reason"] = rule.turn_back;
       log_.debug(loop_.now(), matched->turn_back ? "rule.turned_back" : "rule.marked", std::move(fields));
@@ -212,7 +212,7 @@
   const double told = c.sqe.time_left();
   const double whole =
       told > 0 ? told : config_.settings.profiles[static_cast<std::size_t>(t.profile)].cut_off;
-  t.time_left = whole - std::max(now() - c.at, 0.0) - config_.way_back;
+  t.time_left = whole - std::max(now() - c.arrived_at, 0.0) - config_.way_back;
 
   const int id = slots_.take();
   Slot& s = slots_[id];
@@ -224,8 +224,8 @@
   s.rule = matched->rule;
   s.t = t;
   s.landed_at = now();
-  s.unnamed = s.sqe.label() == 0;
-  if (s.unnamed) s.sqe.set_label(++own_label_);
+  s.unnamed = s.sqe.idempotency_key() == 0;
+  if (s.unnamed) s.sqe.set_idempotency_key(++own_label_);
   if (!reads) s.data = std::make_shared<const nvme::Bytes>(std::move(c.data));
   s.tenant = matched->tenant;
   door_.landed(s.tenant, bytes);
@@ -234,15 +234,15 @@
   control_->landed(now(), id, t);
 }
 
-void Scheduler::admitted(nvme::ConnectionId connection, const std::string& host, bool admin,
-                         const heronworks::Address& peer) {
+void Scheduler::connection_established(nvme::ConnectionId connection, const std::string& host, bool admin,
+                                       const heronworks::Address& peer) {
   if (admin) return;
   ClientFacts& f = facts_[connection];
   f.name = host;
   f.address = expr::parse_address(peer.host).value_or(expr::Address{});
 }
 
-void Scheduler::closed(nvme::ConnectionId connection) {
+void Scheduler::connection_closed(nvme::ConnectionId connection) {
   facts_.erase(connection);
   const auto found = by_client_.find(connection);
   if (found == by_client_.end()) return;
@@ -257,7 +257,7 @@
   }
 }
 
-void Scheduler::answer(Slot& s, nvme::Status status, std::uint64_t result, nvme::View data) {
+void Scheduler::answer(Slot& s, nvme::Status status, std::uint64_t result, nvme::ByteView data) {
   if (s.answered) return;
   target_->complete(s.connection, s.sqe.cid, status, result, data);
   mark_answered(s);
@@ -285,7 +285,7 @@
   const auto& profile = config_.settings.profiles[static_cast<std::size_t>(s.profile)];
   d.until = now() + (try_for > 0 ? try_for : profile.cut_off);
   d.sqe = s.sqe;
-  d.sqe.set_origin(s.sqe.client_try(), d.number, config_.settings.index);
+  d.sqe.set_dispatch_info(s.sqe.client_attempt(), d.number, config_.settings.index);
   if (s.shard < 0) {  // a new object: the first zone of the node's shard; the node finds room from there on
     d.sqe.set_slba(static_cast<std::uint64_t>(numbers_.entry(node).shard) * config_.zone_blocks);
   }
@@ -306,7 +306,7 @@
 
 void Scheduler::give_up(int transaction) {
   ++counts_.given_up;
-  answer(slots_[transaction], nvme::status::kInternalPath);
+  answer(slots_[transaction], nvme::status::kInternalPathError);
 }
 
 void Scheduler::forget(int transaction) {
@@ -353,7 +353,7 @@
   const Plan& plan = config_.settings.plans[static_cast<std::size_t>(s.t.plan)];
   const double hosts = std::max(s.t.hosts, 1);
   ledger::Use use;
-  use.identity = s.sqe.label();
+  use.identity = s.sqe.idempotency_key();
   use.unnamed = s.unnamed;
   use.tenant = matcher_.tenant_of(s.sqe.nsid);
   use.volume = s.sqe.nsid;
@@ -363,7 +363,7 @@
   use.bytes = std::uint64_t{s.sqe.blocks()} * config_.block_bytes;
   use.standing = standings_.of(now(), s.t.volume, plan.reservation / hosts, plan.usual / hosts, s.t.units);
   if (facts != facts_.end()) use.client = facts->second.name;
-  use.attempt = static_cast<std::uint32_t>(s.sqe.client_try());
+  use.attempt = static_cast<std::uint32_t>(s.sqe.client_attempt());
   if (s.rule >= 0) use.labels = &matcher_.rules().rule(s.rule).labels;
   const std::uint64_t ticket = keeper_->honoured(use);
   if (!config_.ledger.waits) return answer(s, nvme::status::kOk, result, data);
@@ -428,12 +428,12 @@
     if (e.fresh) {
       NodeLink::Options o;
       o.host.address = l.address;
-      o.host.subsystem = config_.node_subsystem;
-      o.host.host_name = config_.host_name;
-      o.host.depth = static_cast<std::uint16_t>(config_.node_depth);
+      o.host.subnqn = config_.node_subsystem;
+      o.host.hostnqn = config_.host_name;
+      o.host.io_queue_size = static_cast<std::uint16_t>(config_.node_depth);
       o.host.digests = {config_.digests, config_.digests};
       o.host.connect_timeout = config_.connect_timeout;
-      o.host.keep_alive = config_.keep_alive;
+      o.host.keep_alive_timeout = config_.keep_alive;
       o.idle_close = config_.idle_close;
       n = {l.address, std::make_unique<NodeLink>(loop_, e.node, o, *this)};
     }
@@ -499,7 +499,7 @@
              {"at_ledger", since(&Counts::at_ledger)},
              {"ahead", since(&Counts::ahead)},
              {"open", open()},
-             {"clients", target_->connections()}});
+             {"clients", target_->connection_count()}});
   reported_ = counts_;
   report_ = loop_.at(loop_.now() + kReportEvery, [this] { report(); });
 }
--- a/src/gateway/scheduler.h
+++ b/src/gateway/scheduler.h
@@ -55,7 +55,7 @@
   // What log page kReasonsPage holds: a rule that turns back a line, "number<TAB>name<TAB>reason".
   std::string reasons() const;
   std::size_t unread() const {
-    return target_->unsent();
+    return target_->unsent_bytes();
   }  // bytes of answers that clients have not taken yet
   bool door_empty() const { return door_.empty(); }
   std::size_t open() const { return slots_.open(); }
@@ -73,12 +73,12 @@
 
   // From clients.
   nvme::Status identify(std::uint8_t cns, std::uint8_t csi, std::uint32_t nsid, nvme::Bytes& page) override;
-  void command(nvme::Command&& command) override;
-  void log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page, std::uint64_t offset,
-                std::uint32_t length) override;
-  void admitted(nvme::ConnectionId connection, const std::string& host, bool admin,
-                const heronworks::Address& peer) override;
-  void closed(nvme::ConnectionId connection) override;
+  void execute_command(nvme::Command&& command) override;
+  void get_log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page, std::uint64_t offset,
+                    std::uint32_t length) override;
+  void connection_established(nvme::ConnectionId connection, const std::string& host, bool admin,
+                              const heronworks::Address& peer) override;
+  void connection_closed(nvme::ConnectionId connection) override;
 
  private:
   // A transaction from landing until the module forgets it.
@@ -130,7 +130,7 @@
   std::vector<Entry> take_list(const std::vector<ListedNode>& nodes);
   void let_go_of_gone();
   void connect_to_listed();
-  void answer(Slot& slot, nvme::Status status, std::uint64_t result = 0, nvme::View data = {});
+  void answer(Slot& slot, nvme::Status status, std::uint64_t result = 0, nvme::ByteView data = {});
   void check_drained();
   void report();
 
--- a/src/lab/day_rules.cpp
+++ b/src/lab/day_rules.cpp
@@ -21,7 +21,7 @@
   set("lba", expr::Value(append ? std::uint64_t{0} : sqe.slba()));
   set("blocks", expr::Value(std::uint64_t{sqe.blocks()}));
   set("length", expr::Value(std::uint64_t{sqe.blocks()} * block_bytes));
-  set("label", expr::Value(sqe.label()));
+  set("label", expr::Value(sqe.idempotency_key()));
   set("client.name", expr::Value(std::string_view(client)));
   set("client.address", expr::Value(expr::parse_address(address).value_or(expr::Address{})));
   int from = 0;
--- a/src/lab/day_rules.h
+++ b/src/lab/day_rules.h
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "config/rules.h"
-#include "nvme/wire.h"
+#include "nvme/spec.h"
 
 namespace heronworks::lab {
 
--- a/src/lab/list.cpp
+++ b/src/lab/list.cpp
@@ -13,11 +13,11 @@
   Fd fd = listen_on(listen);
   if (!fd) throw std::runtime_error("cannot listen on " + listen.text());
   nvme::TargetOptions o;
-  o.subsystem = nvme::kDiscoveryName;
+  o.subnqn = nvme::kDiscoveryNqn;
   target_ = std::make_unique<nvme::Target>(loop, std::move(fd), o, *this);
   const auto changed = [this] {
     ++generation_;
-    if (!down()) target_->notify(nvme::kDiscoveryChanged);
+    if (!down()) target_->send_async_event(nvme::kEventDiscoveryLogChanged);
   };
   for (int n = 0; n < day.nodes; ++n) {
     lives_.push_back(lives_of(day, n));
@@ -29,7 +29,7 @@
   }
   for (const Act& a : day.acts) {
     if (a.trouble != Trouble::kListDown) continue;
-    loop_.at(start + a.from, [this] { target_->reset_all(); });
+    loop_.at(start + a.from, [this] { target_->reset_all_connections(); });
     loop_.at(start + a.to + 0.001, changed);
   }
 }
@@ -47,12 +47,13 @@
   return nvme::status::kOk;
 }
 
-void StandInList::command(nvme::Command&& c) {
+void StandInList::execute_command(nvme::Command&& c) {
   target_->complete(c.connection, c.sqe.cid, nvme::status::kInvalidOpcode);
 }
 
-void StandInList::admitted(nvme::ConnectionId connection, const std::string& host, bool, const Address&) {
-  if (down()) return target_->reset(connection);
+void StandInList::connection_established(nvme::ConnectionId connection, const std::string& host, bool,
+                                         const Address&) {
+  if (down()) return target_->reset_connection(connection);
   const auto dot = host.rfind('.');
   via_[connection] = dot == std::string::npos ? -1 : std::atoi(host.c_str() + dot + 1);
 }
@@ -67,22 +68,22 @@
       const Life& l = lives[i];
       if (t < l.from || t >= l.to) continue;
       nvme::DiscoveryEntry e;
-      e.port = static_cast<std::uint16_t>(n + 1);
-      nvme::put_text(e.service, std::to_string(ports_[static_cast<std::size_t>(n)]), ' ');
-      nvme::put_text(e.subsystem, "nqn.2026-11.org.heronworks:node");
-      nvme::put_text(e.address, "127.0.0.1", ' ');
-      nvme::put_text(e.vendor, "HWK1");
-      e.listing = t >= l.drained_at ? 2 : 1;
+      e.portid = static_cast<std::uint16_t>(n + 1);
+      nvme::put_text(e.trsvcid, std::to_string(ports_[static_cast<std::size_t>(n)]), ' ');
+      nvme::put_text(e.subnqn, "nqn.2026-11.org.heronworks:node");
+      nvme::put_text(e.traddr, "127.0.0.1", ' ');
+      nvme::put_text(e.vendor_signature, "HWK1");
+      e.node_state = t >= l.drained_at ? 2 : 1;
       e.zone = static_cast<std::uint16_t>(n % day_.zones);
       e.shard = static_cast<std::uint32_t>(n);
-      e.came_up = i == 0 ? 0 : static_cast<std::uint64_t>((start_ + l.from + wall_) * 1e6) * 1000;
-      if (e.listing == 1) ready.push_back(n);
+      e.started_at = i == 0 ? 0 : static_cast<std::uint64_t>((start_ + l.from + wall_) * 1e6) * 1000;
+      if (e.node_state == 1) ready.push_back(n);
       entries.push_back(e);
     }
   }
   nvme::DiscoveryHeader header;
-  header.generation = generation_;
-  header.records = entries.size();
+  header.genctr = generation_;
+  header.numrec = entries.size();
   nvme::Bytes page(sizeof header + sizeof(nvme::DiscoveryEntry) * entries.size());
   std::memcpy(page.data(), &header, sizeof header);
   if (!entries.empty())
@@ -90,16 +91,17 @@
   return page;
 }
 
-void StandInList::log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page,
-                           std::uint64_t offset, std::uint32_t length) {
-  if (page != nvme::kLogDiscovery)
+void StandInList::get_log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page,
+                               std::uint64_t offset, std::uint32_t length) {
+  if (page != nvme::kLogPageDiscovery)
     return void(target_->complete(connection, cid, nvme::status::kInvalidLogPage));
   if (down()) return;
   loop_.at(loop_.now() + day_.call_time, [this, connection, cid, offset, length] {
     Event told;
     const nvme::Bytes bytes = page_now(told.nodes);
     if (offset > bytes.size()) return void(target_->complete(connection, cid, nvme::status::kInvalidField));
-    const auto part = nvme::View(bytes).subspan(offset, std::min<std::size_t>(length, bytes.size() - offset));
+    const auto part =
+        nvme::ByteView(bytes).subspan(offset, std::min<std::size_t>(length, bytes.size() - offset));
     if (!target_->complete(connection, cid, nvme::status::kOk, 0, part)) return;
     told.t = loop_.now();
     told.kind = Kind::kTold;
--- a/src/lab/list.h
+++ b/src/lab/list.h
@@ -16,12 +16,12 @@
               std::vector<std::uint16_t> ports, Recorder& record);
 
   nvme::Status identify(std::uint8_t cns, std::uint8_t csi, std::uint32_t nsid, nvme::Bytes& page) override;
-  void command(nvme::Command&& command) override;
-  void log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page, std::uint64_t offset,
-                std::uint32_t length) override;
-  void admitted(nvme::ConnectionId connection, const std::string& host, bool admin,
-                const Address& peer) override;
-  void closed(nvme::ConnectionId connection) override { via_.erase(connection); }
+  void execute_command(nvme::Command&& command) override;
+  void get_log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page, std::uint64_t offset,
+                    std::uint32_t length) override;
+  void connection_established(nvme::ConnectionId connection, const std::string& host, bool admin,
+                              const Address& peer) override;
+  void connection_closed(nvme::ConnectionId connection) override { via_.erase(connection); }
 
  private:
   nvme::Bytes page_now(std::vector<int>& ready) const;
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -39,7 +39,7 @@
   }
   ~Client() override { *alive_ = false; }
 
-  bool takes() const { return host_ && host_->ready() && host_->has_room(); }
+  bool takes() const { return host_ && host_->ready() && host_->can_submit(); }
   int via() const { return via_; }
   int number() const { return number_; }
   std::string name() const { return "nqn.2026-11.org.heronworks:client." + std::to_string(number_); }
@@ -54,7 +54,7 @@
     load_.record_.write(e);
     nvme::Sqe sqe = t.sqe;
     sqe.set_time_left(e.left);
-    sqe.set_origin(t.attempt, 0, 0);
+    sqe.set_dispatch_info(t.attempt, 0, 0);
     host_->submit(token, sqe, t.data, t.in);
   }
 
@@ -77,7 +77,7 @@
     if (!leaving_) load_.again_elsewhere(node.mapped());
     load_.check_finished();
   }
-  void down(const std::string&) override {
+  void disconnected(const std::string&) override {
     host_.reset();
     leaving_ = false;
     load_.loop_.at(load_.loop_.now() + kReconnect, [this, alive = alive_] {
@@ -89,12 +89,12 @@
   void connect() {
     nvme::HostOptions o;
     o.address = {"127.0.0.1", port_};
-    o.subsystem = "nqn.2026-11.org.heronworks:gateway";
-    o.host_name = name();
-    o.depth = 128;
-    o.keep_alive = 0;
+    o.subnqn = "nqn.2026-11.org.heronworks:gateway";
+    o.hostnqn = name();
+    o.io_queue_size = 128;
+    o.keep_alive_timeout = 0;
     o.connect_timeout = 3;
-    o.mark_arrivals = true;
+    o.kernel_timestamps = true;
     host_ = std::make_unique<nvme::Host>(load_.loop_, o, *this);
   }
 
@@ -255,7 +255,7 @@
     if (ruled.profile >= 0) t.profile = ruled.profile;
     t.key = ruled.key.value_or(0);
     t.label = label_of(t.label, t.profile);
-    t.sqe.set_label(t.label);
+    t.sqe.set_idempotency_key(t.label);
     if (t.in == 0) t.data = pattern(t.label, blocks, day_.block_bytes);
     t.first_at = now;
     t.until = now + day_.settings.profiles[static_cast<std::size_t>(t.profile)].cut_off;
@@ -305,16 +305,16 @@
 }
 
 void Load::answered(Client& client, Transaction t, nvme::Completion&& c) {
-  Event e = event(t, Kind::kAnswer, c.at);
+  Event e = event(t, Kind::kAnswer, c.arrived_at);
   e.client = client.number();
-  e.since = c.since;
+  e.since = c.earliest_arrival;
   const nvme::Status s = c.status();
   const auto& profile = day_.settings.profiles[static_cast<std::size_t>(t.profile)];
   bool again = false;
   if (s.ok()) {
     e.outcome = "honoured";
     ++second_counts_.honoured;
-    if (c.at - t.first_at <= profile.contract) ++second_counts_.in_time;
+    if (c.arrived_at - t.first_at <= profile.contract) ++second_counts_.in_time;
     if (t.sqe.opcode == nvme::opcode::kZoneAppend) {
       e.lba = static_cast<std::int64_t>(c.cqe.result());
       auto& objects = objects_[static_cast<std::size_t>(t.volume)];
@@ -330,7 +330,7 @@
     e.outcome = "turned_back";
     ++second_counts_.turned_back;
     again = true;
-  } else if (s == nvme::status::kInternalPath) {
+  } else if (s == nvme::status::kInternalPathError) {
     e.outcome = "given_up";
     ++second_counts_.given_up;
     again = profile.repeat == Repeat::kRedoable;
--- a/src/lab/node.cpp
+++ b/src/lab/node.cpp
@@ -36,9 +36,9 @@
   Fd fd = listen_on(options.listen);
   if (!fd) throw std::runtime_error("cannot listen on " + options.listen.text());
   nvme::TargetOptions o;
-  o.subsystem = kNodeSubsystem;
+  o.subnqn = kNodeSubsystem;
   o.mdts = 8;
-  o.arrival = nvme::Arrival::kMarked;
+  o.arrival_source = nvme::ArrivalSource::kKernelTimestamp;
   target_ = std::make_unique<nvme::Target>(loop, std::move(fd), o, *this);
   const auto lives = lives_of(day, options.number);
   came_up_ = options.start + std::max(lives[static_cast<std::size_t>(options.life)].from, -3600.0);
@@ -105,32 +105,32 @@
   return cns == 1 ? nvme::status::kOk : nvme::status::kInvalidField;
 }
 
-void StandInNode::log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t, std::uint64_t,
-                           std::uint32_t) {
+void StandInNode::get_log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t, std::uint64_t,
+                               std::uint32_t) {
   target_->complete(connection, cid, nvme::status::kInvalidLogPage);
 }
 
-void StandInNode::admitted(nvme::ConnectionId connection, const std::string& host, bool admin,
-                           const Address&) {
+void StandInNode::connection_established(nvme::ConnectionId connection, const std::string& host, bool admin,
+                                         const Address&) {
   if (!admin) via_[connection] = number_at_end(host);
 }
 
-void StandInNode::closed(nvme::ConnectionId connection) { via_.erase(connection); }
+void StandInNode::connection_closed(nvme::ConnectionId connection) { via_.erase(connection); }
 
 Event StandInNode::event(const Job& job, Kind kind, double t) const {
   Event e;
   e.t = t;
   e.kind = kind;
-  e.label = job.c.sqe.label();
-  e.attempt = job.c.sqe.client_try();
-  e.dispatch = job.c.sqe.dispatch();
+  e.label = job.c.sqe.idempotency_key();
+  e.attempt = job.c.sqe.client_attempt();
+  e.dispatch = job.c.sqe.dispatch_number();
   e.via = job.via;
   e.node = e.shard = options_.number;
   e.life = options_.life;
   return e;
 }
 
-void StandInNode::command(nvme::Command&& c) {
+void StandInNode::execute_command(nvme::Command&& c) {
   if (down_) return;
   const double now = loop_.now();
   Job job;
@@ -141,11 +141,11 @@
   job.c = std::move(c);
   const nvme::Sqe& sqe = job.c.sqe;
   const bool append = sqe.opcode == nvme::opcode::kZoneAppend;
-  job.profile = profile_of(sqe.label());
+  job.profile = profile_of(sqe.idempotency_key());
   const int volume = static_cast<int>(sqe.nsid) - 1;
   if (volume >= 0 && volume < static_cast<int>(volumes_.size()))
     job.plan = volumes_[static_cast<std::size_t>(volume)].plan;
-  job.expires = job.c.at + (sqe.time_left() > 0 ? sqe.time_left() : 3600);
+  job.expires = job.c.arrived_at + (sqe.time_left() > 0 ? sqe.time_left() : 3600);
 
   // The work: by units, with some spread, now and then heavy.
   const double spread = day_.work_spread * std::sqrt(3.0);
@@ -156,7 +156,7 @@
         draw(0, 1) < kHeavyEvery)
       job.cost *= a.size;
   }
-  Event got = event(job, Kind::kGot, job.c.at);
+  Event got = event(job, Kind::kGot, job.c.arrived_at);
   got.volume = volume;
   got.profile = job.profile;
   got.plan = job.plan;
@@ -176,13 +176,13 @@
     return reply(job, nvme::status::kInvalidField, "error");
   }
   if (const Act* a = acting(Trouble::kFastErrors); a && draw(0, 1) < a->size) {
-    return reply(job, nvme::status::kInternal, "error");
+    return reply(job, nvme::status::kInternalError, "error");
   }
   const auto& profile = day_.settings.profiles[static_cast<std::size_t>(
       std::clamp(job.profile, 0, static_cast<int>(day_.settings.profiles.size()) - 1))];
   if (profile.repeat == Repeat::kLabelled && job.write) {
     std::erase_if(done_, [&](const auto& d) { return d.second.at < now - profile.label_window; });
-    job.repeat = done_.contains({sqe.nsid, sqe.label()});
+    job.repeat = done_.contains({sqe.nsid, sqe.idempotency_key()});
     if (job.repeat) job.cost *= 1 - day_.repeat_saving;
   }
   if (queue_.size() >= static_cast<std::size_t>(day_.queue)) {
@@ -214,7 +214,7 @@
   record_.write(e);
   down_ = true;
   target_->stop_accepting();
-  target_->reset_all();
+  target_->reset_all_connections();
   loop_.defer(fallen_);
   return true;
 }
@@ -263,7 +263,7 @@
   e.write = job.write ? 1 : 0;
   if (job.repeat) {
     e.outcome = "repeat";
-    result = done_[{sqe.nsid, sqe.label()}].result;
+    result = done_[{sqe.nsid, sqe.idempotency_key()}].result;
   } else if (job.write) {
     std::uint64_t lba = sqe.slba();
     if (sqe.opcode == nvme::opcode::kZoneAppend) {
@@ -277,7 +277,7 @@
     e.hash = XXH3_64bits(job.c.data.data(), job.c.data.size());
     const auto& profile = day_.settings.profiles[static_cast<std::size_t>(
         std::clamp(job.profile, 0, static_cast<int>(day_.settings.profiles.size()) - 1))];
-    if (profile.repeat == Repeat::kLabelled) done_[{sqe.nsid, sqe.label()}] = {loop_.now(), result};
+    if (profile.repeat == Repeat::kLabelled) done_[{sqe.nsid, sqe.idempotency_key()}] = {loop_.now(), result};
   } else {
     const auto from = disk_.at(volume, sqe.slba(), sqe.blocks());
     data.assign(from->begin(), from->end());
@@ -289,7 +289,7 @@
   meter_.add(volume, loop_.now(), static_cast<std::uint32_t>(job.units));
   if (const Act* a = acting(Trouble::kAnswersLost); a && draw(0, 1) < a->size) {
     record_.write(event(job, Kind::kSilenced, loop_.now()));
-    if (a->by_reset) target_->reset(job.c.connection);
+    if (a->by_reset) target_->reset_connection(job.c.connection);
     return;
   }
   if (sqe.opcode != nvme::opcode::kZoneAppend) {
@@ -312,7 +312,7 @@
 }
 
 void StandInNode::reply(const Job& job, nvme::Status status, const char* outcome, std::uint64_t result,
-                        nvme::View data) {
+                        nvme::ByteView data) {
   Event e = event(job, Kind::kReplied, loop_.now());
   e.outcome = outcome;
   record_.write(e);
--- a/src/lab/node.h
+++ b/src/lab/node.h
@@ -30,12 +30,12 @@
 
   Address address() const { return target_->address(); }
   nvme::Status identify(std::uint8_t cns, std::uint8_t csi, std::uint32_t nsid, nvme::Bytes& page) override;
-  void command(nvme::Command&& command) override;
-  void log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page, std::uint64_t offset,
-                std::uint32_t length) override;
-  void admitted(nvme::ConnectionId connection, const std::string& host, bool admin,
-                const Address& peer) override;
-  void closed(nvme::ConnectionId connection) override;
+  void execute_command(nvme::Command&& command) override;
+  void get_log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page, std::uint64_t offset,
+                    std::uint32_t length) override;
+  void connection_established(nvme::ConnectionId connection, const std::string& host, bool admin,
+                              const Address& peer) override;
+  void connection_closed(nvme::ConnectionId connection) override;
 
  private:
   struct Job {
@@ -62,7 +62,7 @@
   void next();
   void ran(Job job);
   void reply(const Job& job, nvme::Status status, const char* outcome, std::uint64_t result = 0,
-             nvme::View data = {});
+             nvme::ByteView data = {});
   void pause();
   void flush();
   double draw(double from, double to);
--- a/src/nvme/host.cpp
+++ b/src/nvme/host.cpp
@@ -1,4 +1,3 @@
-// The host's end: see host.h.
 #include "nvme/host.h"
 
 #include <algorithm>
@@ -6,277 +5,310 @@
 namespace heronworks::nvme {
 namespace {
 
-constexpr std::uint32_t kMostPdu = std::uint32_t{2} << 20;  // a C2HData PDU longer than this is an error
-constexpr std::uint64_t kInternal = ~std::uint64_t{0};      // tokens of the association's own commands
-constexpr std::uint64_t kBeat = kInternal - 1;
-constexpr std::uint16_t kAdminDepth = 32;
-constexpr int kMostRepeats = 16;  // completions that came twice at which a connection is not worth keeping
-constexpr std::uint32_t kAdminCapsule = 8192;  // Transport 3.3.2: admin commands may carry so much
+constexpr std::uint32_t kMaxPduSize = std::uint32_t{2} << 20;  // bytes
+// Bytes; used if MDTS is 0, which means no limit, or above kLargestMdts.
+constexpr std::uint32_t kDefaultMaxTransferSize = std::uint32_t{1} << 20;
+constexpr std::uint8_t kLargestMdts = 12;
+constexpr std::uint64_t kInitializationToken = ~std::uint64_t{0};
+constexpr std::uint64_t kKeepAliveToken = kInitializationToken - 1;
+constexpr std::uint16_t kAdminQueueSize = 32;            // entries
+constexpr std::uint32_t kAdminInCapsuleDataSize = 8192;  // bytes, Transport 3.3.2
+constexpr int kMaxDuplicateCompletions = 16;             // tolerated on one connection
 
 }  // namespace
 
-// One queue: its connection and the commands out on it.
+// A queue pair: its connection and the commands outstanding on it.
 class HostQueue final : public StreamOwner {
  public:
-  HostQueue(Loop& loop, Host& host, std::uint16_t id, std::uint16_t depth)
+  HostQueue(Loop& loop, Host& host, std::uint16_t queue_id, std::uint16_t queue_size)
       : loop_(loop),
         host_(host),
-        id_(id),
-        framing_(End::kHost, kMostPdu),
-        slots_(depth),
-        generations_(static_cast<std::uint16_t>(0xffff / depth)) {
-    for (std::uint16_t i = 0; i < depth; ++i) free_.push_back(i);
+        queue_id_(queue_id),
+        parser_(Role::kHost, kMaxPduSize),
+        slots_(queue_size),
+        generations_(static_cast<std::uint16_t>(0xffff / queue_size)) {
+    for (std::uint16_t i = 0; i < queue_size; ++i) free_slots_.push_back(i);
     Fd fd = connect_to(host.options_.address);
     if (!fd) {
       const std::string reason = std::strerror(errno);
       loop_.defer([this, reason, alive = host.alive_] {
-        if (*alive) host_.queue_lost(reason);
+        if (*alive) host_.disconnect(reason);
       });
       return;
     }
     stream_ = std::make_unique<Stream>(loop, std::move(fd), *this, true);
-    if (host.options_.mark_arrivals) stream_->mark_arrivals();
+    if (host.options_.kernel_timestamps) stream_->mark_arrivals();
   }
 
-  bool up() const { return up_; }
   // A queue of n entries holds n - 1 commands (Base 3.3.1.4).
-  bool has_room() const { return free_.size() > 1; }
-  std::size_t out() const { return down_ ? 0 : slots_.size() - free_.size(); }
-  std::size_t unsent() const { return stream_ ? stream_->unsent() : 0; }
-  std::uint16_t id() const { return id_; }
-
-  void submit(std::uint64_t token, Sqe sqe, SharedBytes data, std::uint32_t in, std::uint32_t capsule) {
-    const std::uint16_t place = free_.front();
-    free_.pop_front();
-    Slot& s = slots_[place];
-    s.used = true;
-    s.token = token;
-    s.out = std::move(data);
-    s.in_most = in;
-    // FFFFh stays unused, as the error log means something else by it (Base 3.3.3.1).
-    sqe.cid = static_cast<std::uint16_t>(s.generation * slots_.size() + place);
-    const std::size_t length = s.out ? s.out->size() : 0;
-    const bool inside = length > 0 && length <= capsule;
-    s.given = inside ? static_cast<std::uint32_t>(length) : 0;
+  bool can_submit() const { return free_slots_.size() > 1; }
+  std::size_t outstanding() const { return dropped_ ? 0 : slots_.size() - free_slots_.size(); }
+  std::size_t unsent_bytes() const { return stream_ ? stream_->unsent() : 0; }
+  std::uint16_t queue_id() const { return queue_id_; }
+
+  void submit(std::uint64_t token, Sqe sqe, SharedBytes write_data, std::uint32_t read_length,
+              std::uint32_t in_capsule_data_size) {
+    const std::uint16_t index = free_slots_.front();
+    free_slots_.pop_front();
+    Slot& slot = slots_[index];
+    slot.in_use = true;
+    slot.token = token;
+    slot.write_data = std::move(write_data);
+    slot.read_length = read_length;
+    // Never FFFFh, which the Error Information log page uses for "no command" (Base 3.3.3.1).
+    sqe.cid = static_cast<std::uint16_t>(slot.generation * slots_.size() + index);
+    const std::size_t write_length = slot.write_data ? slot.write_data->size() : 0;
+    const bool in_capsule = write_length > 0 && write_length <= in_capsule_data_size;
+    slot.write_sent = in_capsule ? static_cast<std::uint32_t>(write_length) : 0;
     sqe.flags = 0x40;
-    sqe.sgl_type = inside ? kSglInCapsule : kSglTransport;
-    sqe.sgl_length = static_cast<std::uint32_t>(length > 0 ? length : in);
-    CapsuleCmd c{{}, sqe};
-    c.header.type = static_cast<std::uint8_t>(PduType::kCapsuleCmd);
-    s.starts_at = stream_ ? stream_->queued() : 0;
+    sqe.sgl_type = in_capsule ? kSglDataBlockOffset : kSglTransportDataBlock;
+    sqe.sgl_length = static_cast<std::uint32_t>(write_length > 0 ? write_length : read_length);
+    CapsuleCmd capsule{{}, sqe};
+    capsule.header.type = static_cast<std::uint8_t>(PduType::kCapsuleCmd);
+    slot.stream_offset = stream_ ? stream_->queued() : 0;
     if (!stream_) return;
-    append_pdu(stream_->out(), bytes_of(c), inside ? View(*s.out) : View{}, digests_);
+    append_pdu(stream_->out(), bytes_of(capsule), in_capsule ? ByteView(*slot.write_data) : ByteView{},
+               digests_);
     stream_->flush();
   }
 
-  // Nobody waits for it any more: its data is let go and not sent, and what comes for it is passed over.
-  void withdraw(std::uint64_t token) {
-    for (Slot& s : slots_) {
-      if (!s.used || s.token != token) continue;
-      s.withdrawn = true;
-      s.out.reset();
-      s.in = {};
+  // See Host::cancel.
+  void cancel(std::uint64_t token) {
+    for (Slot& slot : slots_) {
+      if (!slot.in_use || slot.token != token) continue;
+      slot.cancelled = true;
+      slot.write_data.reset();
+      slot.read_data = {};
       return;
     }
   }
 
-  // Completes all that is out without arrival.
-  void drop_all() {
+  // Closes the connection and completes all outstanding commands without a completion queue entry.
+  void drop_commands() {
     const std::uint64_t written = stream_ ? stream_->written() : 0;
     if (stream_) stream_->close();
     for (std::size_t i = 0; i < slots_.size(); ++i) {
-      Slot& s = slots_[i];
-      if (!s.used) continue;
-      s.used = false;
-      Completion c;
-      c.written = s.starts_at < written;
-      host_.finished(s.token, std::move(c), true);
+      Slot& slot = slots_[i];
+      if (!slot.in_use) continue;
+      slot.in_use = false;
+      Completion completion;
+      completion.written = slot.stream_offset < written;
+      host_.command_completed(slot.token, std::move(completion), true);
     }
-    free_.clear();
-    down_ = true;
+    free_slots_.clear();
+    dropped_ = true;
   }
 
   void connected() override {
-    InitConnection ic;
-    ic.header.type = static_cast<std::uint8_t>(PduType::kIcReq);
-    ic.digests = static_cast<std::uint8_t>((host_.options_.digests.header ? 1 : 0) |
-                                           (host_.options_.digests.data ? 2 : 0));
+    InitConnection ic_req;
+    ic_req.header.type = static_cast<std::uint8_t>(PduType::kIcReq);
+    ic_req.dgst = static_cast<std::uint8_t>((host_.options_.digests.header ? kDgstHeader : 0) |
+                                            (host_.options_.digests.data ? kDgstData : 0));
     Bytes out;
-    append_pdu(out, bytes_of(ic), {}, {});
+    append_pdu(out, bytes_of(ic_req), {}, {});
     stream_->send(out);
   }
 
-  std::size_t received(View bytes) override {
-    std::size_t done = 0;
-    // What was left unread may have come with what was read before it.
-    if (!std::exchange(behind_, !stream_->drained())) since_ = loop_.earliest_arrival();
+  std::size_t received(ByteView bytes) override {
+    std::size_t consumed = 0;
+    // Bytes left unread in the socket by the previous read may have arrived together with those read then.
+    if (!std::exchange(data_unread_, !stream_->drained())) earliest_arrival_ = loop_.earliest_arrival();
     const auto alive = host_.alive_;
     while (true) {
-      std::size_t used = 0;
+      std::size_t pdu_size = 0;
       std::optional<FatalError> error;
-      const auto pdu = framing_.next(bytes.subspan(done), used, error);
+      const auto pdu = parser_.parse(bytes.subspan(consumed), pdu_size, error);
       if (error) {
-        terminate(*error, bytes.subspan(done));
-        return done;
+        terminate_connection(*error, bytes.subspan(consumed));
+        return consumed;
       }
-      if (!pdu) return done;
-      if (!take(*pdu) || !*alive || !stream_->open()) return done;
-      done += used;
+      if (!pdu) return consumed;
+      if (!handle_pdu(*pdu) || !*alive || !stream_->open()) return consumed;
+      consumed += pdu_size;
     }
   }
 
   void sent() override {
-    if (stream_->unsent() == 0 && host_.ready_) host_.owner_.progressed();
+    if (stream_->unsent() == 0 && host_.ready_) host_.owner_.output_drained();
   }
-  void lost(const std::string& reason) override { host_.queue_lost(reason); }
+  void lost(const std::string& reason) override { host_.disconnect(reason); }
 
  private:
+  // An entry of the queue. Its commands take the identifiers index + generation * slots in turn.
   struct Slot {
-    bool used = false;
+    bool in_use = false;
     std::uint64_t token = 0;
-    SharedBytes out;
-    std::uint32_t in_most = 0;
-    std::uint32_t in_done = 0;
-    Bytes in;
-    std::uint32_t given = 0;  // bytes of `out` that went, within the capsule or asked for
-    std::uint64_t starts_at = 0;
-    std::uint16_t generation = 0;  // of its identifier, from one command to the next
-    bool wrapped = false;          // it has had all of them
-    bool withdrawn = false;
-    bool broken = false;  // a data digest was wrong: the command fails, the connection stands
+    SharedBytes write_data;
+    std::uint32_t read_length = 0;    // bytes of data that the controller may return
+    std::uint32_t read_received = 0;  // bytes of them that were received
+    Bytes read_data;
+    std::uint32_t write_sent = 0;     // bytes of `write_data` sent in the capsule or requested by R2Ts
+    std::uint64_t stream_offset = 0;  // of the capsule among all bytes sent on the connection
+    std::uint16_t generation = 0;     // of the current or next command identifier
+    bool wrapped = false;             // every identifier of the slot has been used
+    bool cancelled = false;
+    bool data_digest_error = false;  // fails the command, but not the connection (Transport 3.3.1.1)
   };
 
-  void terminate(const FatalError& error, View pdu) {
-    append_term(stream_->out(), End::kHost, error, pdu);
+  void terminate_connection(const FatalError& error, ByteView pdu) {
+    append_term_req(stream_->out(), Role::kHost, error, pdu);
     stream_->flush();
-    host_.queue_lost(error.text);
+    host_.disconnect(error.text);
   }
 
-  bool refuse(Fatal status, std::uint32_t field, const char* text, const Pdu& pdu) {
-    terminate({status, field, text}, pdu.head);
+  // Terminates the connection because of `pdu`; `field` is the offset of the offending field. Returns false.
+  bool reject_pdu(FatalErrorStatus fes, std::uint32_t field, const char* text, const Pdu& pdu) {
+    terminate_connection({fes, field, text}, pdu.header_bytes);
     return false;
   }
 
-  bool take(const Pdu& pdu) {
+  // Returns false if the connection has ended, as the other handlers do.
+  bool handle_pdu(const Pdu& pdu) {
     const auto type = static_cast<PduType>(pdu.header.type);
-    if (!up_) {
-      if (type != PduType::kIcResp) return refuse(Fatal::kSequence, 0, "a PDU before ICResp", pdu);
-      const auto ic = read_as<InitConnection>(pdu.head);
-      if (ic.format != 0) return refuse(Fatal::kUnsupported, 8, "PDU format version not supported", pdu);
-      if (ic.most < 4096) return refuse(Fatal::kInvalidHeaderField, 12, "MAXH2CDATA under 4096", pdu);
-      digests_ = {(ic.digests & 1) != 0, (ic.digests & 2) != 0};
-      framing_.set_digests(digests_);
-      most_data_ = ic.most;
-      up_ = true;
-      host_.queue_up(*this);
+    if (!initialized_) {
+      if (type != PduType::kIcResp)
+        return reject_pdu(FatalErrorStatus::kPduSequenceError, offsetof(PduHeader, type),
+                          "PDU received before ICResp", pdu);
+      const auto ic_resp = read_as<InitConnection>(pdu.header_bytes);
+      if (ic_resp.pfv != 0)
+        return reject_pdu(FatalErrorStatus::kUnsupportedParameter, offsetof(InitConnection, pfv),
+                          "ICResp: PFV is not 0", pdu);
+      if (ic_resp.maxr2t_or_maxh2cdata < kMinMaxH2cData)
+        return reject_pdu(FatalErrorStatus::kInvalidPduHeaderField,
+                          offsetof(InitConnection, maxr2t_or_maxh2cdata), "ICResp: MAXH2CDATA is below 4096",
+                          pdu);
+      digests_ = {(ic_resp.dgst & kDgstHeader) != 0, (ic_resp.dgst & kDgstData) != 0};
+      parser_.set_digests(digests_);
+      max_h2c_data_ = ic_resp.maxr2t_or_maxh2cdata;
+      initialized_ = true;
+      host_.send_connect(*this);
       return true;
     }
     switch (type) {
       case PduType::kCapsuleResp:
-        return response(pdu);
+        return handle_capsule_resp(pdu);
       case PduType::kC2hData:
-        return data(pdu);
+        return handle_c2h_data(pdu);
       case PduType::kR2t:
-        return ready_to_transfer(pdu);
+        return handle_r2t(pdu);
       case PduType::kC2hTermReq: {
-        const auto t = read_as<TermReq>(pdu.head);
-        host_.queue_lost("the controller ended the connection, status " + std::to_string(t.status));
+        const auto term_req = read_as<TermReq>(pdu.header_bytes);
+        host_.disconnect("controller sent C2HTermReq with FES " + std::to_string(term_req.fes));
         return false;
       }
       default:
-        return refuse(Fatal::kSequence, 0, "a PDU out of turn", pdu);
+        return reject_pdu(FatalErrorStatus::kPduSequenceError, offsetof(PduHeader, type),
+                          "ICResp received twice", pdu);
     }
   }
 
-  Slot* slot(std::uint16_t cid) {
-    Slot& s = slots_[cid % slots_.size()];
-    return s.used && s.generation == cid / slots_.size() ? &s : nullptr;
+  // The slot of the outstanding command `cid`, or null.
+  Slot* find_slot(std::uint16_t cid) {
+    Slot& slot = slots_[cid % slots_.size()];
+    return slot.in_use && slot.generation == cid / slots_.size() ? &slot : nullptr;
   }
 
-  // Danger: a completion that comes twice ends the next command under its identifier, whose work never ran;
-  // or it ends the connection and leaves the fate of all that is out unknown. So each place takes a new
-  // identifier for each command, the places take turns, and what comes for one that a place has had is passed
-  // over. May hide a broken controller for a while.
-  bool repeated(std::uint16_t cid) {
-    const Slot& s = slots_[cid % slots_.size()];
+  // Whether `cid` belongs to an earlier command of its slot. Such PDUs are ignored up to a limit: ending the
+  // connection would leave the outcome of all outstanding commands unknown. They cannot complete a newer
+  // command, since identifiers are reused as late as possible: slots in turn, each with all of its
+  // generations.
+  bool is_duplicate(std::uint16_t cid) {
+    const Slot& slot = slots_[cid % slots_.size()];
     const auto generation = cid / slots_.size();
-    const bool had =
-        s.wrapped ? generation < generations_ && generation != s.generation : generation < s.generation;
-    return had && ++repeats_ <= kMostRepeats;
+    const bool used_before = slot.wrapped ? generation < generations_ && generation != slot.generation
+                                          : generation < slot.generation;
+    return used_before && ++duplicates_ <= kMaxDuplicateCompletions;
   }
 
-  bool response(const Pdu& pdu) {
-    const auto cqe = read_as<CapsuleResp>(pdu.head).cqe;
-    Slot* s = slot(cqe.cid);
-    if (!s && repeated(cqe.cid)) return true;
-    if (!s) return refuse(Fatal::kInvalidHeaderField, 20, "a completion for no command", pdu);
-    finish(*s, cqe);
+  bool handle_capsule_resp(const Pdu& pdu) {
+    const auto cqe = read_as<CapsuleResp>(pdu.header_bytes).cqe;
+    Slot* slot = find_slot(cqe.cid);
+    if (!slot && is_duplicate(cqe.cid)) return true;
+    if (!slot)
+      return reject_pdu(FatalErrorStatus::kInvalidPduHeaderField,
+                        offsetof(CapsuleResp, cqe) + offsetof(Cqe, cid),
+                        "CapsuleResp: CID of no outstanding command", pdu);
+    complete_command(*slot, cqe);
     return true;
   }
 
-  void finish(Slot& s, Cqe cqe) {
-    Completion c;
-    c.arrived = true;
-    c.written = true;
-    c.cqe = cqe;
-    // Danger: a success with less data than it needs, either way, passes for honoured.
-    const bool lacks =
-        id_ != 0 && !s.withdrawn && (s.in_done < s.in_most || (s.out && s.given < s.out->size()));
-    if (s.broken || (lacks && c.status().ok())) c.cqe.status = status::kDataTransfer.field();
-    c.data = std::move(s.in);
-    c.at = host_.options_.mark_arrivals ? stream_->arrived_at() : loop_.now();
-    c.since = std::min(c.at, since_);
-    const auto token = s.token;
-    const auto next = static_cast<std::uint16_t>((s.generation + 1) % generations_);
-    const bool wrapped = s.wrapped || next == 0;
-    s = Slot{};
-    s.generation = next;
-    s.wrapped = wrapped;
-    free_.push_back(static_cast<std::uint16_t>(&s - slots_.data()));
-    host_.finished(token, std::move(c), false);
+  void complete_command(Slot& slot, Cqe cqe) {
+    Completion completion;
+    completion.arrived = true;
+    completion.written = true;
+    completion.cqe = cqe;
+    // A successful status with part of the data missing, in either direction, is an error.
+    const bool data_missing = queue_id_ != 0 && !slot.cancelled &&
+                              (slot.read_received < slot.read_length ||
+                               (slot.write_data && slot.write_sent < slot.write_data->size()));
+    if (slot.data_digest_error || (data_missing && completion.status().ok()))
+      completion.cqe.status = status::kDataTransferError.to_field();
+    completion.data = std::move(slot.read_data);
+    completion.arrived_at = host_.options_.kernel_timestamps ? stream_->arrived_at() : loop_.now();
+    completion.earliest_arrival = std::min(completion.arrived_at, earliest_arrival_);
+    const auto token = slot.token;
+    const auto next_generation = static_cast<std::uint16_t>((slot.generation + 1) % generations_);
+    const bool wrapped = slot.wrapped || next_generation == 0;
+    slot = Slot{};
+    slot.generation = next_generation;
+    slot.wrapped = wrapped;
+    free_slots_.push_back(static_cast<std::uint16_t>(&slot - slots_.data()));
+    host_.command_completed(token, std::move(completion), false);
   }
 
-  bool data(const Pdu& pdu) {
-    const auto d = read_as<DataPdu>(pdu.head);
-    Slot* s = slot(d.cid);
-    if (!s && repeated(d.cid)) return true;
-    if (!s) return refuse(Fatal::kInvalidHeaderField, 8, "data for no command", pdu);
-    if (d.length != pdu.data.size()) return refuse(Fatal::kInvalidHeaderField, 16, "DATAL against PLEN", pdu);
-    if (d.offset != s->in_done || d.length > s->in_most - s->in_done)
-      return refuse(Fatal::kOutOfRange, 12, "data outside the command's buffer", pdu);
-    if (pdu.data_digest_wrong) s->broken = true;
-    if (!s->withdrawn) s->in.insert(s->in.end(), pdu.data.begin(), pdu.data.end());
-    s->in_done += d.length;
-    if ((pdu.header.flags & kSuccess) != 0) {
-      if ((pdu.header.flags & kLastPdu) == 0)
-        return refuse(Fatal::kInvalidHeaderField, 1, "SUCCESS without LAST_PDU", pdu);
-      finish(*s, Cqe{0, 0, 0, id_, d.cid, 0});
+  bool handle_c2h_data(const Pdu& pdu) {
+    const auto c2h_data = read_as<DataPdu>(pdu.header_bytes);
+    Slot* slot = find_slot(c2h_data.cid);
+    if (!slot && is_duplicate(c2h_data.cid)) return true;
+    if (!slot)
+      return reject_pdu(FatalErrorStatus::kInvalidPduHeaderField, offsetof(DataPdu, cid),
+                        "C2HData: CCCID of no outstanding command", pdu);
+    if (c2h_data.length != pdu.data.size())
+      return reject_pdu(FatalErrorStatus::kInvalidPduHeaderField, offsetof(DataPdu, length),
+                        "C2HData: DATAL differs from the data in the PDU", pdu);
+    if (c2h_data.offset != slot->read_received || c2h_data.length > slot->read_length - slot->read_received)
+      return reject_pdu(FatalErrorStatus::kDataTransferOutOfRange, offsetof(DataPdu, offset),
+                        "C2HData: DATAO out of order or data beyond the command's length", pdu);
+    if (pdu.data_digest_error) slot->data_digest_error = true;
+    if (!slot->cancelled) slot->read_data.insert(slot->read_data.end(), pdu.data.begin(), pdu.data.end());
+    slot->read_received += c2h_data.length;
+    if ((pdu.header.flags & kFlagSuccess) != 0) {
+      if ((pdu.header.flags & kFlagLastPdu) == 0)
+        return reject_pdu(FatalErrorStatus::kInvalidPduHeaderField, offsetof(PduHeader, flags),
+                          "C2HData: FLAGS.SUCCESS set without LAST_PDU", pdu);
+      complete_command(*slot, Cqe{0, 0, 0, queue_id_, c2h_data.cid, 0});
     }
     return true;
   }
 
-  bool ready_to_transfer(const Pdu& pdu) {
-    const auto r = read_as<DataPdu>(pdu.head);
-    Slot* s = slot(r.cid);
-    if (s && s->withdrawn) return host_.asked_late_ = true;
-    if (!s || !s->out) return refuse(Fatal::kInvalidHeaderField, 8, "R2T for no write", pdu);
-    if (r.length == 0 || r.offset > s->out->size() || r.length > s->out->size() - r.offset)
-      return refuse(Fatal::kOutOfRange, 12, "R2T outside the command's data", pdu);
-    if (r.length > s->out->size() - s->given)
-      return refuse(Fatal::kOutOfRange, 16, "R2T for data that was asked for before", pdu);
-    s->given += r.length;
-    std::uint32_t done = 0;
-    while (done < r.length) {
-      const std::uint32_t n = std::min(r.length - done, most_data_);
-      DataPdu d;
-      d.header.type = static_cast<std::uint8_t>(PduType::kH2cData);
-      if (done + n == r.length) d.header.flags = kLastPdu;
-      d.cid = r.cid;
-      d.ttag = r.ttag;
-      d.offset = r.offset + done;
-      d.length = n;
-      append_pdu(stream_->out(), bytes_of(d), View(*s->out).subspan(d.offset, n), digests_);
-      done += n;
+  bool handle_r2t(const Pdu& pdu) {
+    const auto r2t = read_as<DataPdu>(pdu.header_bytes);
+    Slot* slot = find_slot(r2t.cid);
+    if (slot && slot->cancelled) return host_.data_requested_after_cancel_ = true;
+    if (!slot || !slot->write_data)
+      return reject_pdu(FatalErrorStatus::kInvalidPduHeaderField, offsetof(DataPdu, cid),
+                        "R2T: CCCID of no outstanding command with data to send", pdu);
+    if (r2t.length == 0 || r2t.offset > slot->write_data->size() ||
+        r2t.length > slot->write_data->size() - r2t.offset)
+      return reject_pdu(FatalErrorStatus::kDataTransferOutOfRange, offsetof(DataPdu, offset),
+                        "R2T: R2TO and R2TL outside the command's data", pdu);
+    if (r2t.length > slot->write_data->size() - slot->write_sent)
+      return reject_pdu(FatalErrorStatus::kDataTransferOutOfRange, offsetof(DataPdu, length),
+                        "R2T: R2TL exceeds the data not yet requested", pdu);
+    slot->write_sent += r2t.length;
+    std::uint32_t sent = 0;
+    while (sent < r2t.length) {
+      const std::uint32_t length = std::min(r2t.length - sent, max_h2c_data_);
+      DataPdu h2c_data;
+      h2c_data.header.type = static_cast<std::uint8_t>(PduType::kH2cData);
+      if (sent + length == r2t.length) h2c_data.header.flags = kFlagLastPdu;
+      h2c_data.cid = r2t.cid;
+      h2c_data.ttag = r2t.ttag;
+      h2c_data.offset = r2t.offset + sent;
+      h2c_data.length = length;
+      append_pdu(stream_->out(), bytes_of(h2c_data),
+                 ByteView(*slot->write_data).subspan(h2c_data.offset, length), digests_);
+      sent += length;
     }
     stream_->flush();
     return true;
@@ -284,162 +316,175 @@
 
   Loop& loop_;
   Host& host_;
-  const std::uint16_t id_;
-  Framing framing_;
+  const std::uint16_t queue_id_;
+  PduParser parser_;
   Digests digests_;
   std::unique_ptr<Stream> stream_;
-  bool up_ = false;
-  bool down_ = false;
-  std::uint32_t most_data_ = 4096;
-  std::vector<Slot> slots_;          // by command identifier, modulo their number
-  const std::uint16_t generations_;  // identifiers that each place has in turn
-  int repeats_ = 0;
-  double since_ = 0;                // what is being taken did not come before
-  bool behind_ = false;             // more is unread
-  std::deque<std::uint16_t> free_;  // places, that which was free for longest first
+  bool initialized_ = false;                     // ICResp was received
+  bool dropped_ = false;                         // see drop_commands
+  std::uint32_t max_h2c_data_ = kMinMaxH2cData;  // bytes of one H2CData PDU
+  std::vector<Slot> slots_;                      // indexed by command identifier modulo their number
+  const std::uint16_t generations_;              // command identifiers of each slot
+  int duplicates_ = 0;
+  double earliest_arrival_ = 0;           // s; lower bound of the arrival time of the bytes being processed
+  bool data_unread_ = false;              // the previous read left bytes in the socket
+  std::deque<std::uint16_t> free_slots_;  // indices, least recently used first
 };
 
 Host::Host(Loop& loop, HostOptions options, HostOwner& owner)
     : loop_(loop), options_(std::move(options)), owner_(owner) {
-  timeout_ = loop_.at(loop_.now() + options_.connect_timeout, [this] { queue_lost("not up in time"); });
-  admin_ = std::make_unique<HostQueue>(loop_, *this, 0, kAdminDepth);
+  connect_timer_ = loop_.at(loop_.now() + options_.connect_timeout,
+                            [this] { disconnect("association not established within the connect timeout"); });
+  admin_queue_ = std::make_unique<HostQueue>(loop_, *this, 0, kAdminQueueSize);
 }
 
 Host::~Host() {
   *alive_ = false;
-  loop_.cancel(timeout_);
-  loop_.cancel(beat_);
+  loop_.cancel(connect_timer_);
+  loop_.cancel(keep_alive_timer_);
 }
 
-bool Host::has_room() const { return io_ ? io_->has_room() : admin_->has_room(); }
-std::size_t Host::out() const { return io_ ? io_->out() : 0; }
-std::size_t Host::unsent() const { return io_ ? io_->unsent() : admin_->unsent(); }
+bool Host::can_submit() const { return io_queue_ ? io_queue_->can_submit() : admin_queue_->can_submit(); }
+std::size_t Host::outstanding() const { return io_queue_ ? io_queue_->outstanding() : 0; }
+std::size_t Host::unsent_bytes() const {
+  return io_queue_ ? io_queue_->unsent_bytes() : admin_queue_->unsent_bytes();
+}
 
-void Host::submit(std::uint64_t token, Sqe sqe, SharedBytes out, std::uint32_t in) {
-  if (!io_) return submit_admin(token, sqe, std::move(out), in);
-  io_->submit(token, sqe, std::move(out), in, in_capsule_);
+void Host::submit(std::uint64_t token, Sqe sqe, SharedBytes write_data, std::uint32_t read_length) {
+  if (!io_queue_) return submit_admin(token, sqe, std::move(write_data), read_length);
+  io_queue_->submit(token, sqe, std::move(write_data), read_length, in_capsule_data_size_);
 }
 
-void Host::submit_admin(std::uint64_t token, Sqe sqe, SharedBytes out, std::uint32_t in) {
-  admin_->submit(token, sqe, std::move(out), in, kAdminCapsule);
+void Host::submit_admin(std::uint64_t token, Sqe sqe, SharedBytes write_data, std::uint32_t read_length) {
+  admin_queue_->submit(token, sqe, std::move(write_data), read_length, kAdminInCapsuleDataSize);
 }
 
-void Host::withdraw(std::uint64_t token) {
-  if (io_) io_->withdraw(token);
+void Host::cancel(std::uint64_t token) {
+  if (io_queue_) io_queue_->cancel(token);
 }
 
-void Host::close(const std::string& reason) { queue_lost(reason); }
+void Host::close(const std::string& reason) { disconnect(reason); }
 
-void Host::queue_lost(const std::string& reason) {
-  if (down_) return;
-  down_ = true;
+void Host::disconnect(const std::string& reason) {
+  if (disconnected_) return;
+  disconnected_ = true;
   ready_ = false;
-  loop_.cancel(timeout_);
-  loop_.cancel(beat_);
+  loop_.cancel(connect_timer_);
+  loop_.cancel(keep_alive_timer_);
   loop_.defer([this, reason, alive = alive_] {
     if (!*alive) return;
-    if (io_) io_->drop_all();
+    if (io_queue_) io_queue_->drop_commands();
     if (!*alive) return;
-    admin_->drop_all();
-    if (*alive) owner_.down(reason);
+    admin_queue_->drop_commands();
+    if (*alive) owner_.disconnected(reason);
   });
 }
 
-void Host::finished(std::uint64_t token, Completion&& completion, bool dropped) {
-  if (token == kInternal) {
-    if (!dropped && !down_) step_done(completion);
-  } else if (token == kBeat) {
-    beat_out_ = false;
+void Host::command_completed(std::uint64_t token, Completion&& completion, bool dropped) {
+  if (token == kInitializationToken) {
+    if (!dropped && !disconnected_) continue_initialization(completion);
+  } else if (token == kKeepAliveToken) {
+    keep_alive_outstanding_ = false;
   } else {
     owner_.completed(token, std::move(completion));
   }
 }
 
-void Host::queue_up(HostQueue& queue) {
-  Sqe c;
-  c.opcode = opcode::kFabrics;
-  c.nsid = fabrics::kConnect;
-  const std::uint16_t size = queue.id() == 0 ? kAdminDepth : options_.depth;
-  // RECFMT 0, QID, SQSIZE (0's based), CATTR, KATO in ms.
-  c.cdw10 = static_cast<std::uint32_t>(queue.id()) << 16;
-  c.cdw11 = static_cast<std::uint32_t>(size - 1);
-  c.cdw12 = queue.id() == 0 ? static_cast<std::uint32_t>(options_.keep_alive * 1000) : 0;
-  ConnectData d;
-  d.controller = controller_;
-  put_text(d.subsystem, options_.subsystem);
-  put_text(d.host, options_.host_name);
-  const auto b = bytes_of(d);
-  queue.submit(kInternal, c, std::make_shared<const Bytes>(b.begin(), b.end()), 0, kAdminCapsule);
+// Sends the Connect command of a queue whose connection is initialized (Base 6.3).
+void Host::send_connect(HostQueue& queue) {
+  Sqe sqe;
+  sqe.opcode = opcode::kFabrics;
+  sqe.nsid = fabrics::kConnect;
+  const std::uint16_t queue_size = queue.queue_id() == 0 ? kAdminQueueSize : options_.io_queue_size;
+  sqe.cdw10 = static_cast<std::uint32_t>(queue.queue_id()) << 16;  // RECFMT 0, QID
+  sqe.cdw11 = static_cast<std::uint32_t>(queue_size - 1);          // SQSIZE (0's based), CATTR 0
+  // KATO in ms
+  sqe.cdw12 = queue.queue_id() == 0 ? static_cast<std::uint32_t>(options_.keep_alive_timeout * 1000) : 0;
+  ConnectData connect_data;
+  connect_data.cntlid = cntlid_;
+  put_text(connect_data.subnqn, options_.subnqn);
+  put_text(connect_data.hostnqn, options_.hostnqn);
+  const auto bytes = bytes_of(connect_data);
+  queue.submit(kInitializationToken, sqe, std::make_shared<const Bytes>(bytes.begin(), bytes.end()), 0,
+               kAdminInCapsuleDataSize);
 }
 
-// The way up, one command after another (Base 3.5.1, Transport 3.2).
-void Host::step_done(const Completion& completion) {
-  const Status s = completion.status();
-  if (!s.ok()) return queue_lost("not let in: " + s.text());
-  Sqe c;
-  switch (step_) {
-    case Step::kAdminConnect:
-      controller_ = static_cast<std::uint16_t>(completion.cqe.dw0);
-      c.opcode = opcode::kFabrics;
-      c.nsid = fabrics::kPropertySet;
-      c.cdw11 = property::kCc;
-      c.cdw12 = 0x00460001;  // EN, entry sizes 64 and 16
-      step_ = Step::kEnable;
-      return submit_admin(kInternal, c, nullptr, 0);
-    case Step::kPollReady:
-      if ((completion.cqe.dw0 & 1) != 0) {
-        c.opcode = opcode::kIdentify;
-        c.cdw10 = 1;  // CNS 01h: the controller
-        step_ = Step::kIdentify;
-        return submit_admin(kInternal, c, nullptr, 4096);
+// Sends the next command of controller initialization (Base 3.5.1, Transport 3.2) after the previous one
+// completed.
+void Host::continue_initialization(const Completion& completion) {
+  const Status status = completion.status();
+  if (!status.ok()) return disconnect("controller initialization failed: " + status.text());
+  Sqe sqe;
+  switch (init_step_) {
+    case InitStep::kAdminConnect:
+      cntlid_ = static_cast<std::uint16_t>(completion.cqe.dw0);
+      sqe.opcode = opcode::kFabrics;
+      sqe.nsid = fabrics::kPropertySet;
+      sqe.cdw11 = property::kCc;
+      sqe.cdw12 = kCcEnabled;
+      init_step_ = InitStep::kEnable;
+      return submit_admin(kInitializationToken, sqe, nullptr, 0);
+    case InitStep::kPollReady:
+      if ((completion.cqe.dw0 & kCstsReady) != 0) {
+        sqe.opcode = opcode::kIdentify;
+        sqe.cdw10 = kIdentifyCnsController;
+        init_step_ = InitStep::kIdentify;
+        return submit_admin(kInitializationToken, sqe, nullptr, kIdentifyDataSize);
       }
       [[fallthrough]];
-    case Step::kEnable:
-      c.opcode = opcode::kFabrics;
-      c.nsid = fabrics::kPropertyGet;
-      c.cdw11 = property::kCsts;
-      step_ = Step::kPollReady;
-      return submit_admin(kInternal, c, nullptr, 0);
-    case Step::kIdentify: {
-      if (completion.data.size() != 4096) return queue_lost("Identify Controller cut short");
-      const std::uint8_t mdts = completion.data[77];
-      transfer_limit_ = mdts == 0 || mdts > 12 ? std::uint32_t{1} << 20 : std::uint32_t{4096} << mdts;
-      const auto ioccsz = read_as<std::uint32_t>(View(completion.data).subspan(1792));
-      in_capsule_ = ioccsz >= 4 ? ioccsz * 16 - 64 : 0;
-      if (options_.depth == 0) return bring_up();
-      c.opcode = opcode::kSetFeatures;
-      c.cdw10 = kFeatureQueues;
-      c.cdw11 = 0;  // one submission and one completion queue, 0's based
-      step_ = Step::kQueues;
-      return submit_admin(kInternal, c, nullptr, 0);
+    case InitStep::kEnable:
+      sqe.opcode = opcode::kFabrics;
+      sqe.nsid = fabrics::kPropertyGet;
+      sqe.cdw11 = property::kCsts;
+      init_step_ = InitStep::kPollReady;
+      return submit_admin(kInitializationToken, sqe, nullptr, 0);
+    case InitStep::kIdentify: {
+      if (completion.data.size() != kIdentifyDataSize)
+        return disconnect("Identify Controller returned " + std::to_string(completion.data.size()) +
+                          " of 4096 bytes");
+      const std::uint8_t mdts = completion.data[identify_offset::kMdts];
+      max_transfer_size_ =
+          mdts == 0 || mdts > kLargestMdts ? kDefaultMaxTransferSize : std::uint32_t{4096} << mdts;
+      const auto ioccsz = read_as<std::uint32_t>(
+          ByteView(completion.data).subspan(identify_offset::kIoccsz));  // 16 bytes each
+      in_capsule_data_size_ = ioccsz >= 4 ? ioccsz * 16 - sizeof(Sqe) : 0;
+      if (options_.io_queue_size == 0) return become_ready();
+      sqe.opcode = opcode::kSetFeatures;
+      sqe.cdw10 = kFeatureNumberOfQueues;
+      sqe.cdw11 = 0;  // NSQR and NCQR: one each, 0's based
+      init_step_ = InitStep::kNumberOfQueues;
+      return submit_admin(kInitializationToken, sqe, nullptr, 0);
     }
-    case Step::kQueues:
-      step_ = Step::kIoConnect;
-      io_ = std::make_unique<HostQueue>(loop_, *this, 1, options_.depth);
+    case InitStep::kNumberOfQueues:
+      init_step_ = InitStep::kIoConnect;
+      io_queue_ = std::make_unique<HostQueue>(loop_, *this, 1, options_.io_queue_size);
       return;
-    case Step::kIoConnect:
-      return bring_up();
-    case Step::kDone:
+    case InitStep::kIoConnect:
+      return become_ready();
+    case InitStep::kDone:
       return;
   }
 }
 
-void Host::bring_up() {
-  step_ = Step::kDone;
+void Host::become_ready() {
+  init_step_ = InitStep::kDone;
   ready_ = true;
-  loop_.cancel(timeout_);
-  if (options_.keep_alive > 0) beat_ = loop_.at(loop_.now() + options_.keep_alive / 3, [this] { beat(); });
+  loop_.cancel(connect_timer_);
+  if (options_.keep_alive_timeout > 0) {
+    keep_alive_timer_ =
+        loop_.at(loop_.now() + options_.keep_alive_timeout / 3, [this] { send_keep_alive(); });
+  }
   owner_.ready();
 }
 
-// A controller that does not answer a keep alive by the next but one is taken for dead.
-void Host::beat() {
-  if (beat_out_) return queue_lost("keep alive without an answer");
-  beat_out_ = true;
-  Sqe c;
-  c.opcode = opcode::kKeepAlive;
-  submit_admin(kBeat, c, nullptr, 0);
-  beat_ = loop_.at(loop_.now() + options_.keep_alive, [this] { beat(); });
+// Sends a Keep Alive command every keep alive timeout. Disconnects if the previous one has not completed.
+void Host::send_keep_alive() {
+  if (keep_alive_outstanding_) return disconnect("no completion of Keep Alive within the keep alive timeout");
+  keep_alive_outstanding_ = true;
+  Sqe sqe;
+  sqe.opcode = opcode::kKeepAlive;
+  submit_admin(kKeepAliveToken, sqe, nullptr, 0);
+  keep_alive_timer_ = loop_.at(loop_.now() + options_.keep_alive_timeout, [this] { send_keep_alive(); });
 }
 
 }  // namespace heronworks::nvme
--- a/src/nvme/host.h
+++ b/src/nvme/host.h
@@ -1,107 +1,109 @@
-// The host's end: one association with a controller, an admin queue and at most one I/O queue, each a
-// connection of its own (TCP Transport 1.0, section 3.1; Base 6).
+// NVMe over TCP host: one association with a controller, that is an admin queue and at most one I/O queue,
+// each on a TCP connection of its own (Transport 3.1; Base 6).
 #pragma once
 
 #include <deque>
 #include <unordered_map>
 
 #include "loop/stream.h"
-#include "nvme/framing.h"
+#include "nvme/pdu.h"
 
 namespace heronworks::nvme {
 
 struct HostOptions {
   Address address;
-  std::string subsystem;
-  std::string host_name = "nqn.2014-08.org.nvmexpress:uuid:00000000-0000-0000-0000-000000000000";
-  std::uint16_t depth = 128;  // commands out on the I/O queue; 0: admin queue only, as for discovery
+  std::string subnqn;
+  std::string hostnqn = "nqn.2014-08.org.nvmexpress:uuid:00000000-0000-0000-0000-000000000000";
+  std::uint16_t io_queue_size = 128;  // entries; 0: admin queue only, as for a discovery controller
   Digests digests;
-  double connect_timeout = 1.0;  // s for the whole way up to ready
-  double keep_alive = 5.0;       // s; 0: none
-  bool mark_arrivals = false;    // see Stream::arrived_at
+  double connect_timeout = 1.0;     // s, from connect() until ready()
+  double keep_alive_timeout = 5.0;  // s; 0: no keep alive
+  bool kernel_timestamps = false;   // see Stream::arrived_at
 };
 
-// How a command ended. Without a completion: `written` tells whether any byte of it was given to the system.
+// The result of a command.
 struct Completion {
-  bool arrived = false;
-  bool written = false;
+  bool arrived = false;  // a completion was received; else the connection was lost first
+  bool written = false;  // some byte of the command was passed to the kernel, so it may have been executed
   Cqe cqe;
   Bytes data;
-  double at = 0;     // see Stream::arrived_at; else the time of reading
-  double since = 0;  // it did not come before, see Loop::earliest_arrival
-  Status status() const { return Status::from(cqe.status); }
+  double arrived_at = 0;        // s; receive timestamp of the kernel if enabled, else the time of the read
+  double earliest_arrival = 0;  // s; lower bound of the true arrival time, see Loop::earliest_arrival
+  Status status() const { return Status::from_field(cqe.status); }
 };
 
 class HostOwner {
  public:
   virtual ~HostOwner() = default;
   virtual void ready() = 0;
-  // For each command submitted, exactly once, also when the connection is lost (before `down`).
+  // Called exactly once for each submitted command, also if the connection is lost (before `disconnected`).
   virtual void completed(std::uint64_t token, Completion&& completion) = 0;
-  // All bytes queued on the I/O queue were given to the system.
-  virtual void progressed() {}
-  // Never came up, or came down. The association is closed; it may be destroyed in a deferred action.
-  virtual void down(const std::string& reason) = 0;
+  // All bytes queued on the I/O queue were passed to the kernel.
+  virtual void output_drained() {}
+  // The association failed to come up, or has ended. The Host may be destroyed in a deferred action.
+  virtual void disconnected(const std::string& reason) = 0;
 };
 
 class HostQueue;
 
 class Host {
  public:
+  // Starts to connect. Reports to `owner`, which must outlive the host.
   Host(Loop& loop, HostOptions options, HostOwner& owner);
   ~Host();
   Host(const Host&) = delete;
   Host& operator=(const Host&) = delete;
 
   bool ready() const { return ready_; }
-  // Whether one more command may be submitted: an identifier is free.
-  bool has_room() const;
-  std::size_t out() const;  // commands on the I/O queue without a completion
-  // Bytes not yet given to the system, on the I/O queue.
-  std::size_t unsent() const;
-
-  // On the I/O queue; on the admin queue where there is none. `token` comes back with the completion.
-  // `out` is what the command sends, `in` the most that it may get back. Needs ready() and has_room().
-  void submit(std::uint64_t token, Sqe sqe, SharedBytes out, std::uint32_t in);
-  void submit_admin(std::uint64_t token, Sqe sqe, SharedBytes out, std::uint32_t in);
-
-  // Nobody waits for this command any more. It still gets its completion, but no data of it is sent: what the
-  // controller has not got yet never takes effect. asked_late(): a controller asked for it, and waits in
-  // vain.
-  void withdraw(std::uint64_t token);
-  bool asked_late() const { return asked_late_; }
-
-  // Ends the connections. Commands out are completed without arrival, then `down` is told, later in this
-  // turn.
+  // Whether the queue has a free entry for one more command.
+  bool can_submit() const;
+  std::size_t outstanding() const;   // commands on the I/O queue without a completion
+  std::size_t unsent_bytes() const;  // queued on the I/O queue and not yet passed to the kernel
+
+  // Submits a command to the I/O queue, or to the admin queue if there is no I/O queue. `token` is returned
+  // with the completion; `write_data` is sent with the command, `read_length` is the size of the buffer for
+  // data that it returns, in bytes. Requires ready() and can_submit().
+  void submit(std::uint64_t token, Sqe sqe, SharedBytes write_data, std::uint32_t read_length);
+  void submit_admin(std::uint64_t token, Sqe sqe, SharedBytes write_data, std::uint32_t read_length);
+
+  // Discards the data of an I/O command. The command still completes, but its write data is not sent any
+  // more, so a write whose data the controller has not received takes no effect.
+  void cancel(std::uint64_t token);
+  // Whether the controller has sent an R2T for a cancelled command, which is never answered.
+  bool data_requested_after_cancel() const { return data_requested_after_cancel_; }
+
+  // Closes the connections. Later in this turn of the loop, outstanding commands complete with `arrived`
+  // false, and `disconnected` is called.
   void close(const std::string& reason);
-  std::uint32_t transfer_limit() const { return transfer_limit_; }
+  std::uint32_t max_transfer_size() const { return max_transfer_size_; }  // bytes, from MDTS
 
  private:
   friend class HostQueue;
-  void queue_up(HostQueue& queue);
-  void queue_lost(const std::string& reason);
-  void finished(std::uint64_t token, Completion&& completion, bool internal);
-  void bring_up();
-  void step_done(const Completion& completion);
-  void beat();
+  void send_connect(HostQueue& queue);
+  void disconnect(const std::string& reason);
+  void command_completed(std::uint64_t token, Completion&& completion, bool dropped);
+  void become_ready();
+  void continue_initialization(const Completion& completion);
+  void send_keep_alive();
 
-  enum class Step { kAdminConnect, kEnable, kPollReady, kIdentify, kQueues, kIoConnect, kDone };
+  // The command whose completion is awaited during initialization.
+  enum class InitStep { kAdminConnect, kEnable, kPollReady, kIdentify, kNumberOfQueues, kIoConnect, kDone };
 
   Loop& loop_;
   HostOptions options_;
   HostOwner& owner_;
-  std::unique_ptr<HostQueue> admin_;
-  std::unique_ptr<HostQueue> io_;
-  Step step_ = Step::kAdminConnect;
+  std::unique_ptr<HostQueue> admin_queue_;
+  std::unique_ptr<HostQueue> io_queue_;
+  InitStep init_step_ = InitStep::kAdminConnect;
   bool ready_ = false;
-  bool down_ = false;
-  std::uint16_t controller_ = 0xffff;
-  std::uint32_t in_capsule_ = 0;  // bytes of data that a capsule of the I/O queue may carry
-  std::uint32_t transfer_limit_ = 0;
-  Loop::Timer timeout_ = 0;
-  Loop::Timer beat_ = 0;
-  bool beat_out_ = false;
-  bool asked_late_ = false;
+  bool disconnected_ = false;
+  std::uint16_t cntlid_ = 0xffff;
+  std::uint32_t in_capsule_data_size_ = 0;  // bytes, on the I/O queue; from IOCCSZ
+  std::uint32_t max_transfer_size_ = 0;
+  Loop::Timer connect_timer_ = 0;
+  Loop::Timer keep_alive_timer_ = 0;
+  bool keep_alive_outstanding_ = false;
+  bool data_requested_after_cancel_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/nvme/target.cpp
+++ b/src/nvme/target.cpp
@@ -1,4 +1,3 @@
-// The controller's end: see target.h.
 #include "nvme/target.h"
 
 #include <algorithm>
@@ -8,521 +7,561 @@
 namespace heronworks::nvme {
 namespace {
 
-constexpr std::uint32_t kMostData = std::uint32_t{128} << 10;  // MAXH2CDATA
-constexpr std::size_t kMostUnsent = std::size_t{2} << 20;      // answers waiting at which reading stops
-constexpr std::size_t kMostGathered = std::size_t{4} << 20;    // bytes of writes under way on one connection
-constexpr std::size_t kMostEvents = 4;                         // event requests out, AERL + 1
-constexpr std::uint16_t kAdminSize = 32;
+constexpr std::uint32_t kMaxH2cData = std::uint32_t{128} << 10;  // bytes; MAXH2CDATA
+constexpr std::size_t kMaxUnsentBytes = std::size_t{2} << 20;    // bytes above which reading pauses
+// Bytes of writes per connection that are requested from the host but not yet passed to the backend.
+constexpr std::size_t kMaxBufferedWriteBytes = std::size_t{4} << 20;
+constexpr std::size_t kMaxAsyncEventRequests = 4;  // AERL + 1
+constexpr std::uint16_t kMaxAdminCommands = 32;    // outstanding on an admin queue
+constexpr std::uint32_t kMaxPduHeaders = 1024;     // bytes; more than any PDU has beside its data
+constexpr std::uint16_t kMaxCntlid = 0xffef;       // FFF0h to FFFFh are reserved
+constexpr double kMinTimeoutCheckInterval = 0.1;   // s
+constexpr std::uint64_t kCap = 0x0000002000000000ULL | 1U << 16 | 127U;  // CSS: NVM command set; CQR; MQES
 
 }  // namespace
 
+// A connection: one admin or I/O queue of an association.
 class TargetConnection final : public StreamOwner {
  public:
   TargetConnection(Target& target, ConnectionId id, Fd fd)
       : target_(target),
         id_(id),
         peer_(peer_address(fd.get())),
-        framing_(End::kController, kMostData + target.options_.in_capsule + 1024),
+        parser_(Role::kController, kMaxH2cData + target.options_.in_capsule_data_size + kMaxPduHeaders),
         stream_(target.loop_, std::move(fd), *this) {
-    if (target.options_.arrival == Arrival::kMarked) stream_.mark_arrivals();
-    watchdog_ = target.loop_.at(target.loop_.now() + target.options_.bring_up_time, [this] { watch(); });
+    if (target.options_.arrival_source == ArrivalSource::kKernelTimestamp) stream_.mark_arrivals();
+    watchdog_ =
+        target.loop_.at(target.loop_.now() + target.options_.connect_timeout, [this] { check_timeout(); });
   }
   ~TargetConnection() override { target_.loop_.cancel(watchdog_); }
 
-  std::size_t received(View bytes) override {
-    std::size_t done = 0;
-    heard_at_ = target_.loop_.now();
-    // What waited unread is as old as when it began to wait.
-    came_at_ = backlog_since_ >= 0 ? std::min(backlog_since_, arrival()) : arrival();
-    while (!gone_) {
-      std::size_t used = 0;
+  std::size_t received(ByteView bytes) override {
+    std::size_t consumed = 0;
+    last_received_at_ = target_.loop_.now();
+    // Bytes that were left unread have arrived no later than when they were first left.
+    arrived_at_ = backlog_since_ >= 0 ? std::min(backlog_since_, arrival_time()) : arrival_time();
+    while (!closed_) {
+      std::size_t pdu_size = 0;
       std::optional<FatalError> error;
-      const auto pdu = framing_.next(bytes.subspan(done), used, error);
+      const auto pdu = parser_.parse(bytes.subspan(consumed), pdu_size, error);
       if (error) {
-        terminate(*error, bytes.subspan(done));
+        terminate_connection(*error, bytes.subspan(consumed));
         break;
       }
       if (!pdu) break;
-      if (up_ && static_cast<PduType>(pdu->header.type) == PduType::kCapsuleCmd && must_wait()) {
-        waiting_ = true;
+      if (initialized_ && static_cast<PduType>(pdu->header.type) == PduType::kCapsuleCmd && at_limit()) {
+        paused_ = true;
         stream_.pause(true);
         break;
       }
-      if (!take(*pdu)) break;
-      done += used;
+      if (!handle_pdu(*pdu)) break;
+      consumed += pdu_size;
     }
-    backlog_since_ = waiting_ || !stream_.drained() ? came_at_ : -1;
-    return done;
+    backlog_since_ = paused_ || !stream_.drained() ? arrived_at_ : -1;
+    return consumed;
   }
 
-  void sent() override { maybe_resume(); }
+  void sent() override { resume_if_below_limit(); }
 
-  void lost(const std::string&) override { end(); }
+  void lost(const std::string&) override { close(); }
 
-  void complete(std::uint16_t cid, Status status, std::uint64_t result, View data) {
-    const auto found = out_.find(cid);
-    if (found == out_.end()) return;
-    const std::uint32_t most = found->second.in_most;
-    gathered_ -= found->second.data.size();
-    out_.erase(found);
+  void complete(std::uint16_t cid, Status status, std::uint64_t result, ByteView data) {
+    const auto found = outstanding_.find(cid);
+    if (found == outstanding_.end()) return;
+    const std::uint32_t read_length = found->second.read_length;
+    buffered_write_bytes_ -= found->second.data.size();
+    outstanding_.erase(found);
     if (status.ok() && !data.empty()) {
-      data = data.first(std::min<std::size_t>(data.size(), most));
-      DataPdu d;
-      d.header.type = static_cast<std::uint8_t>(PduType::kC2hData);
-      d.header.flags = kLastPdu;
-      d.cid = cid;
-      d.length = static_cast<std::uint32_t>(data.size());
-      append_pdu(stream_.out(), bytes_of(d), data, digests_);
+      data = data.first(std::min<std::size_t>(data.size(), read_length));
+      DataPdu c2h_data;
+      c2h_data.header.type = static_cast<std::uint8_t>(PduType::kC2hData);
+      c2h_data.header.flags = kFlagLastPdu;
+      c2h_data.cid = cid;
+      c2h_data.length = static_cast<std::uint32_t>(data.size());
+      append_pdu(stream_.out(), bytes_of(c2h_data), data, digests_);
     }
-    CapsuleResp r;
-    r.header.type = static_cast<std::uint8_t>(PduType::kCapsuleResp);
-    r.cqe.dw0 = static_cast<std::uint32_t>(result);
-    r.cqe.dw1 = static_cast<std::uint32_t>(result >> 32);
-    r.cqe.sq_head = ++head_;
-    r.cqe.cid = cid;
-    r.cqe.status = status.field();
-    append_pdu(stream_.out(), bytes_of(r), {}, digests_);
+    CapsuleResp response;
+    response.header.type = static_cast<std::uint8_t>(PduType::kCapsuleResp);
+    response.cqe.dw0 = static_cast<std::uint32_t>(result);
+    response.cqe.dw1 = static_cast<std::uint32_t>(result >> 32);
+    response.cqe.sq_head = ++sq_head_;
+    response.cqe.cid = cid;
+    response.cqe.status = status.to_field();
+    append_pdu(stream_.out(), bytes_of(response), {}, digests_);
     stream_.flush();
-    ask_for_more();
-    maybe_resume();
+    send_r2ts();
+    resume_if_below_limit();
   }
 
-  void notify(std::uint32_t event) {
-    if (!admin_ || !up_) return;
-    if (events_.empty()) {
-      missed_ = event;
+  void send_async_event(std::uint32_t event) {
+    if (!admin_ || !initialized_) return;
+    if (async_event_requests_.empty()) {
+      pending_event_ = event;
       return;
     }
-    const auto cid = events_.front();
-    events_.pop_front();
+    const auto cid = async_event_requests_.front();
+    async_event_requests_.pop_front();
     complete(cid, status::kOk, event, {});
   }
 
-  // Taken out of the target's table in a deferred action, so that it may be called from anywhere.
-  void end() {
-    if (gone_) return;
-    gone_ = true;
+  // May be called from any callback: the target removes the connection in a deferred action.
+  void close() {
+    if (closed_) return;
+    closed_ = true;
     stream_.close();
     target_.loop_.defer([&target = target_, id = id_, alive = target_.alive_] {
-      if (*alive) target.drop(id);
+      if (*alive) target.remove_connection(id);
     });
   }
 
   bool admin() const { return admin_; }
-  std::uint16_t controller() const { return controller_; }
-  std::size_t unsent() const { return stream_.unsent(); }
-  bool gone() const { return gone_; }
+  std::uint16_t cntlid() const { return cntlid_; }
+  std::size_t unsent_bytes() const { return stream_.unsent(); }
+  bool closed() const { return closed_; }
 
  private:
-  struct Out {
+  struct OutstandingCommand {
     Sqe sqe;
     Bytes data;
-    std::uint32_t want = 0;  // bytes of data that the host is to send
-    std::uint32_t got = 0;
-    std::uint32_t asked = 0;
-    std::uint32_t in_most = 0;
-    double at = 0;
-    bool broken = false;
+    std::uint32_t write_length = 0;     // bytes of data that the host sends
+    std::uint32_t write_received = 0;   // bytes of them that were received
+    std::uint32_t write_requested = 0;  // bytes of them that were in the capsule or requested by an R2T
+    std::uint32_t read_length = 0;      // bytes that the host's buffer holds
+    double arrived_at = 0;
+    bool data_digest_error = false;
   };
 
-  double arrival() const {
-    switch (target_.options_.arrival) {
-      case Arrival::kMarked:
+  double arrival_time() const {
+    switch (target_.options_.arrival_source) {
+      case ArrivalSource::kKernelTimestamp:
         return stream_.arrived_at();
-      case Arrival::kEarliest:
+      case ArrivalSource::kEarliestPossible:
         return target_.loop_.earliest_arrival();
       default:
         return target_.loop_.now();
     }
   }
 
-  bool must_wait() const {
-    return out_.size() - events_.size() >= (admin_ || !admitted_ ? kAdminSize : size_) ||
-           stream_.unsent() > kMostUnsent;
+  // Whether no further command is read for now.
+  bool at_limit() const {
+    return outstanding_.size() - async_event_requests_.size() >=
+               (admin_ || !connected_ ? kMaxAdminCommands : max_outstanding_) ||
+           stream_.unsent() > kMaxUnsentBytes;
   }
 
-  void maybe_resume() {
-    if (!waiting_ || must_wait() || gone_) return;
-    waiting_ = false;
+  void resume_if_below_limit() {
+    if (!paused_ || at_limit() || closed_) return;
+    paused_ = false;
     stream_.pause(false);
   }
 
-  // Half-open peers and slow senders: not up in time, or silent for longer than they promised.
-  void watch() {
+  // Closes the connection if Connect has not completed in time, or if nothing was received within the keep
+  // alive timeout (Base 3.9).
+  void check_timeout() {
     const double now = target_.loop_.now();
-    const double allowed = admitted_ ? keep_alive_ : target_.options_.bring_up_time;
-    if (admitted_ && keep_alive_ <= 0) return;
-    if (!waiting_ && now - heard_at_ >= allowed) return end();
-    watchdog_ = target_.loop_.at(std::max(heard_at_ + allowed, now + 0.1), [this] { watch(); });
+    const double timeout = connected_ ? keep_alive_timeout_ : target_.options_.connect_timeout;
+    if (connected_ && keep_alive_timeout_ <= 0) return;
+    if (!paused_ && now - last_received_at_ >= timeout) return close();
+    watchdog_ = target_.loop_.at(std::max(last_received_at_ + timeout, now + kMinTimeoutCheckInterval),
+                                 [this] { check_timeout(); });
   }
 
-  void terminate(const FatalError& error, View pdu) {
-    append_term(stream_.out(), End::kController, error, pdu);
+  void terminate_connection(const FatalError& error, ByteView pdu) {
+    append_term_req(stream_.out(), Role::kController, error, pdu);
     stream_.flush();
-    end();
+    close();
   }
-  bool refuse(Fatal status, std::uint32_t field, const char* text, const Pdu& pdu) {
-    terminate({status, field, text}, pdu.head);
+
+  // Terminates the connection because of `pdu`; `field` is the offset of the offending field. Returns false.
+  bool reject_pdu(FatalErrorStatus fes, std::uint32_t field, const char* text, const Pdu& pdu) {
+    terminate_connection({fes, field, text}, pdu.header_bytes);
     return false;
   }
 
-  // False: the connection has ended.
-  bool take(const Pdu& pdu) {
+  // Returns false if the connection has ended, as the other handlers do.
+  bool handle_pdu(const Pdu& pdu) {
     const auto type = static_cast<PduType>(pdu.header.type);
-    if (!up_) {
-      if (type != PduType::kIcReq) return refuse(Fatal::kSequence, 0, "a PDU before ICReq", pdu);
-      const auto ic = read_as<InitConnection>(pdu.head);
-      if (ic.format != 0) return refuse(Fatal::kUnsupported, 8, "PDU format version not supported", pdu);
-      if (ic.alignment != 0) return refuse(Fatal::kUnsupported, 10, "HPDA other than 0", pdu);
-      digests_ = {(ic.digests & 1) != 0, (ic.digests & 2) != 0};
-      InitConnection answer;
-      answer.header.type = static_cast<std::uint8_t>(PduType::kIcResp);
-      answer.digests = static_cast<std::uint8_t>(ic.digests & 3);
-      answer.most = kMostData;
-      append_pdu(stream_.out(), bytes_of(answer), {}, {});
+    if (!initialized_) {
+      if (type != PduType::kIcReq)
+        return reject_pdu(FatalErrorStatus::kPduSequenceError, offsetof(PduHeader, type),
+                          "PDU received before ICReq", pdu);
+      const auto ic_req = read_as<InitConnection>(pdu.header_bytes);
+      if (ic_req.pfv != 0)
+        return reject_pdu(FatalErrorStatus::kUnsupportedParameter, offsetof(InitConnection, pfv),
+                          "ICReq: PFV is not 0", pdu);
+      if (ic_req.pda != 0)
+        return reject_pdu(FatalErrorStatus::kUnsupportedParameter, offsetof(InitConnection, pda),
+                          "ICReq: HPDA is not 0", pdu);
+      digests_ = {(ic_req.dgst & kDgstHeader) != 0, (ic_req.dgst & kDgstData) != 0};
+      InitConnection ic_resp;
+      ic_resp.header.type = static_cast<std::uint8_t>(PduType::kIcResp);
+      ic_resp.dgst = static_cast<std::uint8_t>(ic_req.dgst & (kDgstHeader | kDgstData));
+      ic_resp.maxr2t_or_maxh2cdata = kMaxH2cData;
+      append_pdu(stream_.out(), bytes_of(ic_resp), {}, {});
       stream_.flush();
-      framing_.set_digests(digests_);
-      up_ = true;
+      parser_.set_digests(digests_);
+      initialized_ = true;
       return true;
     }
     switch (type) {
       case PduType::kCapsuleCmd:
-        return capsule(pdu);
+        return handle_capsule_cmd(pdu);
       case PduType::kH2cData:
-        return data(pdu);
+        return handle_h2c_data(pdu);
       case PduType::kH2cTermReq:
-        end();
+        close();
         return false;
       default:
-        return refuse(Fatal::kSequence, 0, "a PDU out of turn", pdu);
+        return reject_pdu(FatalErrorStatus::kPduSequenceError, offsetof(PduHeader, type),
+                          "ICReq received twice", pdu);
     }
   }
 
-  bool capsule(const Pdu& pdu) {
-    const Sqe c = read_as<CapsuleCmd>(pdu.head).sqe;
-    if (out_.contains(c.cid)) {
-      // Danger: an identifier in use again. The first command stands; the second gets the error that the
-      // specification has for it, under the same identifier, and has no effect.
-      CapsuleResp r;
-      r.header.type = static_cast<std::uint8_t>(PduType::kCapsuleResp);
-      r.cqe.cid = c.cid;
-      r.cqe.sq_head = ++head_;
-      r.cqe.status = status::kIdConflict.field();
-      append_pdu(stream_.out(), bytes_of(r), {}, digests_);
+  bool handle_capsule_cmd(const Pdu& pdu) {
+    const Sqe sqe = read_as<CapsuleCmd>(pdu.header_bytes).sqe;
+    if (outstanding_.contains(sqe.cid)) {
+      // Fails only the second command with this identifier; the first one stays outstanding.
+      CapsuleResp response;
+      response.header.type = static_cast<std::uint8_t>(PduType::kCapsuleResp);
+      response.cqe.cid = sqe.cid;
+      response.cqe.sq_head = ++sq_head_;
+      response.cqe.status = status::kCommandIdConflict.to_field();
+      append_pdu(stream_.out(), bytes_of(response), {}, digests_);
       stream_.flush();
       return true;
     }
-    Out& o = out_[c.cid];
-    o.sqe = c;
-    o.at = came_at_;
-    const bool io = admitted_ && !admin_ && c.opcode != opcode::kFabrics;
-    const bool sends = io ? c.opcode == opcode::kWrite || c.opcode == opcode::kZoneAppend
-                          : c.opcode == opcode::kFabrics && c.fabrics_type() == fabrics::kConnect;
-    const std::uint32_t most = std::uint32_t{4096} << target_.options_.mdts;
-    const bool has_place = c.sgl_type == kSglTransport || (c.sgl_type == kSglInCapsule && sends);
-    if (!has_place && c.sgl_length > 0) {
-      complete(c.cid, status::kInvalidSgl, 0, {});
+    OutstandingCommand& command = outstanding_[sqe.cid];
+    command.sqe = sqe;
+    command.arrived_at = arrived_at_;
+    const bool io = connected_ && !admin_ && sqe.opcode != opcode::kFabrics;
+    const bool host_sends_data =
+        io ? sqe.opcode == opcode::kWrite || sqe.opcode == opcode::kZoneAppend
+           : sqe.opcode == opcode::kFabrics && sqe.fabrics_type() == fabrics::kConnect;
+    const std::uint32_t max_transfer_size = std::uint32_t{4096} << target_.options_.mdts;
+    const bool sgl_type_valid =
+        sqe.sgl_type == kSglTransportDataBlock || (sqe.sgl_type == kSglDataBlockOffset && host_sends_data);
+    if (!sgl_type_valid && sqe.sgl_length > 0) {
+      complete(sqe.cid, status::kInvalidSglDescriptorType, 0, {});
       return true;
     }
-    if (!sends) {
-      o.in_most = c.sgl_type == kSglTransport ? c.sgl_length : 0;
-      run(c.cid);
-      return !gone_;
+    if (!host_sends_data) {
+      command.read_length = sqe.sgl_type == kSglTransportDataBlock ? sqe.sgl_length : 0;
+      execute(sqe.cid);
+      return !closed_;
     }
-    if (c.sgl_length > most) {
-      complete(c.cid, status::kInvalidField, 0, {});
+    if (sqe.sgl_length > max_transfer_size) {
+      complete(sqe.cid, status::kInvalidField, 0, {});
       return true;
     }
-    o.want = c.sgl_length;
-    if (c.sgl_type == kSglInCapsule) {
-      if (c.sgl_address != 0 || c.sgl_length != pdu.data.size() || pdu.data_digest_wrong) {
-        complete(c.cid, pdu.data_digest_wrong ? status::kDataTransfer : status::kInvalidSgl, 0, {});
+    command.write_length = sqe.sgl_length;
+    if (sqe.sgl_type == kSglDataBlockOffset) {
+      if (sqe.sgl_address != 0 || sqe.sgl_length != pdu.data.size() || pdu.data_digest_error) {
+        complete(sqe.cid,
+                 pdu.data_digest_error ? status::kDataTransferError : status::kInvalidSglDescriptorType, 0,
+                 {});
         return true;
       }
-      o.data.assign(pdu.data.begin(), pdu.data.end());
-      o.got = o.asked = o.want;
-      gathered_ += o.want;
-      run(c.cid);
-      return !gone_;
+      command.data.assign(pdu.data.begin(), pdu.data.end());
+      command.write_received = command.write_requested = command.write_length;
+      buffered_write_bytes_ += command.write_length;
+      execute(sqe.cid);
+      return !closed_;
     }
-    queue_.push_back(c.cid);
-    ask_for_more();
-    return !gone_;
+    awaiting_r2t_.push_back(sqe.cid);
+    send_r2ts();
+    return !closed_;
   }
 
-  // Asks for the data of waiting writes, as far as the bound on gathered bytes allows; one at least.
-  void ask_for_more() {
-    while (!queue_.empty() && !gone_) {
-      const auto cid = queue_.front();
-      const auto found = out_.find(cid);
-      if (found == out_.end()) {
-        queue_.pop_front();
+  // Requests the data of waiting writes up to kMaxBufferedWriteBytes, and of at least one write.
+  void send_r2ts() {
+    while (!awaiting_r2t_.empty() && !closed_) {
+      const auto cid = awaiting_r2t_.front();
+      const auto found = outstanding_.find(cid);
+      if (found == outstanding_.end()) {
+        awaiting_r2t_.pop_front();
         continue;
       }
-      Out& o = found->second;
-      if (gathered_ > 0 && gathered_ + o.want > kMostGathered) return;
-      queue_.pop_front();
-      if (o.want == 0) {
-        run(cid);
+      OutstandingCommand& command = found->second;
+      if (buffered_write_bytes_ > 0 && buffered_write_bytes_ + command.write_length > kMaxBufferedWriteBytes)
+        return;
+      awaiting_r2t_.pop_front();
+      if (command.write_length == 0) {
+        execute(cid);
         continue;
       }
-      o.data.resize(o.want);
-      o.asked = o.want;
-      gathered_ += o.want;
-      DataPdu r;
-      r.header.type = static_cast<std::uint8_t>(PduType::kR2t);
-      r.cid = cid;
-      r.ttag = cid;
-      r.length = o.want;
-      append_pdu(stream_.out(), bytes_of(r), {}, digests_);
+      command.data.resize(command.write_length);
+      command.write_requested = command.write_length;
+      buffered_write_bytes_ += command.write_length;
+      DataPdu r2t;
+      r2t.header.type = static_cast<std::uint8_t>(PduType::kR2t);
+      r2t.cid = cid;
+      r2t.ttag = cid;
+      r2t.length = command.write_length;
+      append_pdu(stream_.out(), bytes_of(r2t), {}, digests_);
       stream_.flush();
     }
   }
 
-  bool data(const Pdu& pdu) {
-    const auto d = read_as<DataPdu>(pdu.head);
-    const auto found = out_.find(d.cid);
-    // Danger: data of no bytes after the last would run the write once more, without its data.
-    if (found == out_.end() || found->second.got == found->second.asked || d.ttag != d.cid)
-      return refuse(Fatal::kInvalidHeaderField, found == out_.end() ? 8 : 10, "data that was not asked for",
-                    pdu);
-    Out& o = found->second;
-    if (d.length != pdu.data.size()) return refuse(Fatal::kInvalidHeaderField, 16, "DATAL against PLEN", pdu);
-    if (d.offset != o.got || d.length > o.want - o.got)
-      return refuse(Fatal::kOutOfRange, 12, "data outside what was asked for", pdu);
-    if (d.length > kMostData) return refuse(Fatal::kLimitExceeded, 16, "more than MAXH2CDATA", pdu);
-    std::copy(pdu.data.begin(), pdu.data.end(), o.data.begin() + o.got);
-    if (pdu.data_digest_wrong) o.broken = true;
-    o.got += d.length;
-    if (o.got < o.want) return true;
-    if (o.broken) {
-      complete(d.cid, status::kDataTransfer, 0, {});
+  bool handle_h2c_data(const Pdu& pdu) {
+    const auto h2c_data = read_as<DataPdu>(pdu.header_bytes);
+    const auto found = outstanding_.find(h2c_data.cid);
+    // The second condition also rejects empty data after the last byte, which would execute the write twice.
+    if (found == outstanding_.end() || found->second.write_received == found->second.write_requested ||
+        h2c_data.ttag != h2c_data.cid)
+      return reject_pdu(FatalErrorStatus::kInvalidPduHeaderField,
+                        found == outstanding_.end() ? offsetof(DataPdu, cid) : offsetof(DataPdu, ttag),
+                        "H2CData: CCCID and TTAG of no open R2T", pdu);
+    OutstandingCommand& command = found->second;
+    if (h2c_data.length != pdu.data.size())
+      return reject_pdu(FatalErrorStatus::kInvalidPduHeaderField, offsetof(DataPdu, length),
+                        "H2CData: DATAL differs from the data in the PDU", pdu);
+    if (h2c_data.offset != command.write_received ||
+        h2c_data.length > command.write_length - command.write_received)
+      return reject_pdu(FatalErrorStatus::kDataTransferOutOfRange, offsetof(DataPdu, offset),
+                        "H2CData: DATAO out of order or data beyond the R2T", pdu);
+    if (h2c_data.length > kMaxH2cData)
+      return reject_pdu(FatalErrorStatus::kLimitExceeded, offsetof(DataPdu, length),
+                        "H2CData: DATAL exceeds MAXH2CDATA", pdu);
+    std::copy(pdu.data.begin(), pdu.data.end(), command.data.begin() + command.write_received);
+    if (pdu.data_digest_error) command.data_digest_error = true;
+    command.write_received += h2c_data.length;
+    if (command.write_received < command.write_length) return true;
+    if (command.data_digest_error) {
+      complete(h2c_data.cid, status::kDataTransferError, 0, {});
     } else {
-      run(d.cid);
+      execute(h2c_data.cid);
     }
-    return !gone_;
+    return !closed_;
   }
 
-  void run(std::uint16_t cid) {
-    Out& o = out_[cid];
-    const Sqe c = o.sqe;
-    if (c.opcode == opcode::kFabrics) return fabrics_command(cid, c, o.data);
-    if (!admitted_ || (admin_ && !enabled_ && c.opcode != opcode::kKeepAlive))
-      return complete(cid, status::kSequence, 0, {});
-    if (admin_) return admin_command(cid, c);
-    if (c.opcode != opcode::kRead && c.opcode != opcode::kWrite && c.opcode != opcode::kFlush &&
-        c.opcode != opcode::kZoneAppend)
+  // Executes an outstanding command whose data has been received.
+  void execute(std::uint16_t cid) {
+    OutstandingCommand& outstanding = outstanding_[cid];
+    const Sqe sqe = outstanding.sqe;
+    if (sqe.opcode == opcode::kFabrics) return execute_fabrics(cid, sqe, outstanding.data);
+    if (!connected_ || (admin_ && !enabled_ && sqe.opcode != opcode::kKeepAlive))
+      return complete(cid, status::kCommandSequenceError, 0, {});
+    if (admin_) return execute_admin(cid, sqe);
+    if (sqe.opcode != opcode::kRead && sqe.opcode != opcode::kWrite && sqe.opcode != opcode::kFlush &&
+        sqe.opcode != opcode::kZoneAppend)
       return complete(cid, status::kInvalidOpcode, 0, {});
     Command command;
     command.connection = id_;
-    command.sqe = c;
-    command.at = o.at;
-    gathered_ -= o.data.size();
-    command.data = std::move(o.data);
-    o.data.clear();
-    target_.backend_.command(std::move(command));
+    command.sqe = sqe;
+    command.arrived_at = outstanding.arrived_at;
+    buffered_write_bytes_ -= outstanding.data.size();
+    command.data = std::move(outstanding.data);
+    outstanding.data.clear();
+    target_.backend_.execute_command(std::move(command));
   }
 
-  void fabrics_command(std::uint16_t cid, const Sqe& c, const Bytes& data) {
-    const std::uint32_t offset = c.cdw11;
-    if (c.fabrics_type() == fabrics::kConnect) return connect(cid, c, data);
-    if (!admitted_ || !admin_) return complete(cid, status::kSequence, 0, {});
-    if (c.fabrics_type() == fabrics::kPropertyGet) {
+  void execute_fabrics(std::uint16_t cid, const Sqe& sqe, const Bytes& data) {
+    const std::uint32_t offset = sqe.cdw11;
+    if (sqe.fabrics_type() == fabrics::kConnect) return execute_connect(cid, sqe, data);
+    if (!connected_ || !admin_) return complete(cid, status::kCommandSequenceError, 0, {});
+    if (sqe.fabrics_type() == fabrics::kPropertyGet) {
       std::uint64_t value = 0;
-      if (offset == property::kCap) value = 0x0000002000000000ULL | 1U << 16 | 127U;  // NVM set, CQR, MQES
-      else if (offset == property::kVersion) value = 0x00020000;
-      else if (offset == property::kCc) value = enabled_ ? 0x00460001 : 0;
-      else if (offset == property::kCsts) value = enabled_ ? 1 : 0;
+      if (offset == property::kCap) value = kCap;
+      else if (offset == property::kVs) value = kVersion20;
+      else if (offset == property::kCc) value = enabled_ ? kCcEnabled : 0;
+      else if (offset == property::kCsts) value = enabled_ ? kCstsReady : 0;
       else return complete(cid, status::kInvalidField, 0, {});
       return complete(cid, status::kOk, value, {});
     }
-    if (c.fabrics_type() == fabrics::kPropertySet) {
+    if (sqe.fabrics_type() == fabrics::kPropertySet) {
       if (offset != property::kCc) return complete(cid, status::kInvalidField, 0, {});
-      enabled_ = (c.cdw12 & 1) != 0;
+      enabled_ = (sqe.cdw12 & 1) != 0;  // CC.EN
       return complete(cid, status::kOk, 0, {});
     }
     complete(cid, status::kInvalidOpcode, 0, {});
   }
 
-  void connect(std::uint16_t cid, const Sqe& c, const Bytes& data) {
-    if (admitted_) return complete(cid, status::kSequence, 0, {});
-    if ((c.cdw10 & 0xffff) != 0) return complete(cid, status::kConnectFormat, 0, {});
-    if (data.size() != sizeof(ConnectData)) return complete(cid, status::kConnectInvalid, 0, {});
-    const auto d = read_as<ConnectData>(data);
-    const auto queue = static_cast<std::uint16_t>(c.cdw10 >> 16);
-    const auto size = static_cast<std::uint32_t>((c.cdw11 & 0xffff) + 1);
-    if (get_text(d.subsystem) != target_.options_.subsystem)
-      return complete(cid, status::kConnectInvalid, 0, {});
-    if (queue == 0) {
-      // Identifiers go round; one still in use is passed over.
+  // Base 6.3.
+  void execute_connect(std::uint16_t cid, const Sqe& sqe, const Bytes& data) {
+    if (connected_) return complete(cid, status::kCommandSequenceError, 0, {});
+    if ((sqe.cdw10 & 0xffff) != 0) return complete(cid, status::kConnectIncompatibleFormat, 0, {});  // RECFMT
+    if (data.size() != sizeof(ConnectData)) return complete(cid, status::kConnectInvalidParameters, 0, {});
+    const auto connect_data = read_as<ConnectData>(data);
+    const auto queue_id = static_cast<std::uint16_t>(sqe.cdw10 >> 16);
+    const auto queue_size = static_cast<std::uint32_t>((sqe.cdw11 & 0xffff) + 1);  // SQSIZE is 0's based
+    if (get_text(connect_data.subnqn) != target_.options_.subnqn)
+      return complete(cid, status::kConnectInvalidParameters, 0, {});
+    if (queue_id == 0) {
+      // Controller identifiers are assigned in turn, except those in use.
       do {
-        target_.last_controller_ = static_cast<std::uint16_t>(target_.last_controller_ % 0xffef + 1);
-      } while (target_.associations_.contains(target_.last_controller_));
-      controller_ = target_.last_controller_;
-      target_.associations_[controller_] = {get_text(d.host), id_};
+        target_.last_cntlid_ = static_cast<std::uint16_t>(target_.last_cntlid_ % kMaxCntlid + 1);
+      } while (target_.associations_.contains(target_.last_cntlid_));
+      cntlid_ = target_.last_cntlid_;
+      target_.associations_[cntlid_] = {get_text(connect_data.hostnqn), id_};
       admin_ = true;
-      keep_alive_ = 1.5e-3 * c.cdw12;
+      keep_alive_timeout_ = 1.5e-3 * sqe.cdw12;  // KATO in ms, and half as much again for delays
     } else {
-      const auto a = target_.associations_.find(d.controller);
-      if (a == target_.associations_.end() || a->second.host != get_text(d.host) || queue != 1 || size < 2 ||
-          size > target_.options_.queue_size)
-        return complete(cid, status::kConnectInvalid, 0, {});
-      controller_ = d.controller;
-      size_ = size - 1;
+      const auto association = target_.associations_.find(connect_data.cntlid);
+      if (association == target_.associations_.end() ||
+          association->second.hostnqn != get_text(connect_data.hostnqn) || queue_id != 1 || queue_size < 2 ||
+          queue_size > target_.options_.max_queue_size)
+        return complete(cid, status::kConnectInvalidParameters, 0, {});
+      cntlid_ = connect_data.cntlid;
+      max_outstanding_ = queue_size - 1;
     }
-    admitted_ = true;
+    connected_ = true;
     target_.loop_.cancel(watchdog_);
-    if (keep_alive_ > 0) {
-      watchdog_ = target_.loop_.at(target_.loop_.now() + keep_alive_, [this] { watch(); });
+    if (keep_alive_timeout_ > 0) {
+      watchdog_ = target_.loop_.at(target_.loop_.now() + keep_alive_timeout_, [this] { check_timeout(); });
     }
-    target_.backend_.admitted(id_, get_text(d.host), admin_, peer_);
-    complete(cid, status::kOk, controller_, {});
+    target_.backend_.connection_established(id_, get_text(connect_data.hostnqn), admin_, peer_);
+    complete(cid, status::kOk, cntlid_, {});
   }
 
-  void admin_command(std::uint16_t cid, const Sqe& c) {
-    switch (c.opcode) {
+  void execute_admin(std::uint16_t cid, const Sqe& sqe) {
+    switch (sqe.opcode) {
       case opcode::kKeepAlive:
         return complete(cid, status::kOk, 0, {});
       case opcode::kIdentify: {
-        Bytes page(4096);
-        const auto cns = static_cast<std::uint8_t>(c.cdw10);
-        if (cns == 1) describe(page);
-        const Status s =
-            target_.backend_.identify(cns, static_cast<std::uint8_t>(c.cdw11 >> 24), c.nsid, page);
-        return complete(cid, s, 0, page);
+        Bytes page(kIdentifyDataSize);
+        const auto cns = static_cast<std::uint8_t>(sqe.cdw10);
+        if (cns == kIdentifyCnsController) fill_identify_controller(page);
+        const Status status =
+            target_.backend_.identify(cns, static_cast<std::uint8_t>(sqe.cdw11 >> 24), sqe.nsid, page);
+        return complete(cid, status, 0, page);
       }
       case opcode::kSetFeatures:
-        if ((c.cdw10 & 0xff) != kFeatureQueues) return complete(cid, status::kInvalidField, 0, {});
+        if ((sqe.cdw10 & 0xff) != kFeatureNumberOfQueues) return complete(cid, status::kInvalidField, 0, {});
         return complete(cid, status::kOk, 0, {});
       case opcode::kGetLogPage: {
-        const std::uint64_t words = (c.cdw10 >> 16 | static_cast<std::uint64_t>(c.cdw11 & 0xffff) << 16) + 1;
-        const std::uint64_t offset = c.cdw12 | static_cast<std::uint64_t>(c.cdw13) << 32;
-        const std::uint64_t most = std::uint64_t{4096} << target_.options_.mdts;
-        if (words * 4 > most || offset % 4 != 0) return complete(cid, status::kInvalidField, 0, {});
-        return target_.backend_.log_page(id_, cid, static_cast<std::uint8_t>(c.cdw10), offset,
-                                         static_cast<std::uint32_t>(words * 4));
+        // NUMDL and NUMDU, 0's based
+        const std::uint64_t dwords =
+            (sqe.cdw10 >> 16 | static_cast<std::uint64_t>(sqe.cdw11 & 0xffff) << 16) + 1;
+        const std::uint64_t offset = sqe.cdw12 | static_cast<std::uint64_t>(sqe.cdw13) << 32;  // LPOL, LPOU
+        const std::uint64_t max_transfer_size = std::uint64_t{4096} << target_.options_.mdts;
+        if (dwords * 4 > max_transfer_size || offset % 4 != 0)
+          return complete(cid, status::kInvalidField, 0, {});
+        return target_.backend_.get_log_page(id_, cid, static_cast<std::uint8_t>(sqe.cdw10), offset,
+                                             static_cast<std::uint32_t>(dwords * 4));
       }
-      case opcode::kAsyncEvent:
-        if (events_.size() >= kMostEvents) return complete(cid, status::kAsyncLimit, 0, {});
-        events_.push_back(cid);
-        if (missed_ != 0) notify(std::exchange(missed_, 0));
+      case opcode::kAsyncEventRequest:
+        if (async_event_requests_.size() >= kMaxAsyncEventRequests)
+          return complete(cid, status::kAsyncEventRequestLimitExceeded, 0, {});
+        async_event_requests_.push_back(cid);
+        if (pending_event_ != 0) send_async_event(std::exchange(pending_event_, 0));
         return;
       default:
         return complete(cid, status::kInvalidOpcode, 0, {});
     }
   }
 
-  // Identify Controller, Base 5.17.2.1.
-  void describe(Bytes& page) {
+  // Identify Controller data structure, Base 5.17.2.1.
+  void fill_identify_controller(Bytes& page) {
+    using namespace identify_offset;
     const auto put = [&](std::size_t at, auto value) { std::memcpy(page.data() + at, &value, sizeof value); };
-    std::memset(page.data() + 4, ' ', 68);
-    std::memcpy(page.data() + 24, "heronworks", 10);
-    page[77] = target_.options_.mdts;
-    put(78, controller_);
-    put(80, std::uint32_t{0x00020000});
-    put(92, std::uint32_t{0x80000000});  // OAES: discovery log change
-    page[111] = 1;                       // CNTRLTYPE: I/O controller
-    const double unit = std::max(1.0, std::ceil(target_.options_.retry_delay * 10));
-    for (std::size_t i = 0; i < 3; ++i) {  // CRDT1 to 3, in 100 ms
-      put(128 + 2 * i, static_cast<std::uint16_t>(std::min(unit * std::pow(4, i), 65535.0)));
+    std::memset(page.data() + kSn, ' ', kFrEnd - kSn);
+    std::memcpy(page.data() + kMn, "heronworks", 10);
+    page[kMdts] = target_.options_.mdts;
+    put(kCntlid, cntlid_);
+    put(kVer, kVersion20);
+    put(kOaes, std::uint32_t{0x80000000});  // Discovery Log Page Change notices
+    page[kCntrltype] = 1;                   // I/O controller
+    const double crdt1 = std::max(1.0, std::ceil(target_.options_.retry_delay * 10));  // in 100 ms
+    for (std::size_t i = 0; i < 3; ++i) {
+      put(kCrdt1 + 2 * i, static_cast<std::uint16_t>(std::min(crdt1 * std::pow(4, i), 65535.0)));
     }
-    page[259] = kMostEvents - 1;
-    put(320, std::uint16_t{1});  // KAS, in 100 ms
-    page[512] = 0x66;
-    page[513] = 0x44;
-    put(514, target_.options_.queue_size);
-    put(536, std::uint32_t{0x00100001});  // SGLS, with the offset form
-    put(768, std::array<char, 256>{});
-    std::memcpy(page.data() + 768, target_.options_.subsystem.data(),
-                std::min<std::size_t>(target_.options_.subsystem.size(), 223));
-    put(1792, static_cast<std::uint32_t>((64 + target_.options_.in_capsule) / 16));
-    put(1796, std::uint32_t{1});
-    page[1803] = 1;
+    page[kAerl] = kMaxAsyncEventRequests - 1;
+    put(kKas, std::uint16_t{1});  // in 100 ms
+    page[kSqes] = 0x66;           // minimum and maximum entry size 2^6 bytes
+    page[kCqes] = 0x44;           // 2^4 bytes
+    put(kMaxcmd, target_.options_.max_queue_size);
+    put(kSgls, std::uint32_t{0x00100001});  // SGLs, and their address as an offset, are supported
+    put(kSubnqn, std::array<char, 256>{});
+    std::memcpy(page.data() + kSubnqn, target_.options_.subnqn.data(),
+                std::min<std::size_t>(target_.options_.subnqn.size(), 223));
+    put(kIoccsz, static_cast<std::uint32_t>((sizeof(Sqe) + target_.options_.in_capsule_data_size) / 16));
+    put(kIorcsz, std::uint32_t{1});  // in 16 bytes
+    page[kMsdbd] = 1;
   }
 
   Target& target_;
   const ConnectionId id_;
   const Address peer_;
-  Framing framing_;
+  PduParser parser_;
   Stream stream_;
   Digests digests_;
-  bool up_ = false;
-  bool admitted_ = false;
-  bool admin_ = false;
-  bool enabled_ = false;
-  bool gone_ = false;
-  bool waiting_ = false;
-  double keep_alive_ = 0;
-  double heard_at_ = target_.loop_.now();
-  double came_at_ = 0;         // of what is being taken
-  double backlog_since_ = -1;  // below 0: nothing waits unread
+  bool initialized_ = false;  // ICReq was received
+  bool connected_ = false;    // the Connect command succeeded
+  bool admin_ = false;        // the admin queue's connection
+  bool enabled_ = false;      // CC.EN
+  bool closed_ = false;
+  bool paused_ = false;            // reading is paused, see at_limit
+  double keep_alive_timeout_ = 0;  // s; 0: none
+  double last_received_at_ = target_.loop_.now();
+  double arrived_at_ = 0;      // s; arrival time of the bytes being processed
+  double backlog_since_ = -1;  // s; arrival time of the oldest bytes left unread, negative if none
   Loop::Timer watchdog_ = 0;
-  std::uint16_t controller_ = 0;
-  std::uint32_t size_ = 1;
-  std::uint16_t head_ = 0;
-  std::unordered_map<std::uint16_t, Out> out_;  // by identifier; bounded by the queue's size
-  std::deque<std::uint16_t> queue_;             // writes whose data was not asked for yet
-  std::size_t gathered_ = 0;
-  std::deque<std::uint16_t> events_;  // event requests out
-  std::uint32_t missed_ = 0;
+  std::uint16_t cntlid_ = 0;
+  std::uint32_t max_outstanding_ = 1;  // commands of the I/O queue
+  std::uint16_t sq_head_ = 0;
+  std::unordered_map<std::uint16_t, OutstandingCommand> outstanding_;  // by CID; bounded by at_limit
+  std::deque<std::uint16_t> awaiting_r2t_;          // CIDs of writes whose data has not been requested yet
+  std::size_t buffered_write_bytes_ = 0;            // of writes that were not passed to the backend yet
+  std::deque<std::uint16_t> async_event_requests_;  // CIDs
+  std::uint32_t pending_event_ = 0;                 // for the next Asynchronous Event Request; 0: none
 };
 
 Target::Target(Loop& loop, Fd listener, TargetOptions options, Backend& backend)
     : loop_(loop), options_(std::move(options)), backend_(backend) {
-  listener_ =
-      std::make_unique<Listener>(loop, std::move(listener), [this](Fd fd) { accepted(std::move(fd)); });
+  listener_ = std::make_unique<Listener>(loop, std::move(listener),
+                                         [this](Fd fd) { accept_connection(std::move(fd)); });
 }
 
 Target::~Target() { *alive_ = false; }
 
-// Over the bound a connection is closed at once: its client sees that it is not let in and waits.
-void Target::accepted(Fd fd) {
-  if (connections_.size() >= options_.most_connections) return;
-  const ConnectionId id = ++last_connection_;
+// Connections above the limit are closed immediately.
+void Target::accept_connection(Fd fd) {
+  if (connections_.size() >= options_.max_connections) return;
+  const ConnectionId id = ++last_connection_id_;
   connections_.emplace(id, std::make_unique<TargetConnection>(*this, id, std::move(fd)));
 }
 
 bool Target::complete(ConnectionId connection, std::uint16_t cid, Status status, std::uint64_t result,
-                      View data) {
-  const auto c = connections_.find(connection);
-  if (c == connections_.end() || c->second->gone()) return false;
-  c->second->complete(cid, status, result, data);
+                      ByteView data) {
+  const auto found = connections_.find(connection);
+  if (found == connections_.end() || found->second->closed()) return false;
+  found->second->complete(cid, status, result, data);
   return true;
 }
 
-void Target::notify(std::uint32_t event) {
-  for (auto& [id, c] : connections_) {
-    if (!c->gone()) c->notify(event);
+void Target::send_async_event(std::uint32_t event) {
+  for (auto& [id, connection] : connections_) {
+    if (!connection->closed()) connection->send_async_event(event);
   }
 }
 
-void Target::reset(ConnectionId connection) {
-  if (const auto c = connections_.find(connection); c != connections_.end()) c->second->end();
+void Target::reset_connection(ConnectionId connection) {
+  if (const auto found = connections_.find(connection); found != connections_.end()) found->second->close();
 }
 
-void Target::reset_all() {
-  for (auto& [id, c] : connections_) c->end();
+void Target::reset_all_connections() {
+  for (auto& [id, connection] : connections_) connection->close();
 }
 
-std::size_t Target::unsent() const {
+std::size_t Target::unsent_bytes() const {
   std::size_t sum = 0;
-  for (const auto& [id, c] : connections_) sum += c->unsent();
+  for (const auto& [id, connection] : connections_) sum += connection->unsent_bytes();
   return sum;
 }
 
-void Target::drop(ConnectionId id) {
+void Target::remove_connection(ConnectionId id) {
   const auto found = connections_.find(id);
   if (found == connections_.end()) return;
   const bool admin = found->second->admin();
-  const auto controller = found->second->controller();
+  const auto cntlid = found->second->cntlid();
   connections_.erase(found);
   if (admin) {  // an association ends with its admin queue (Base 3.3.2.2)
-    associations_.erase(controller);
-    for (auto& [other, c] : connections_) {
-      if (!c->admin() && c->controller() == controller && controller != 0) c->end();
+    associations_.erase(cntlid);
+    for (auto& [other, connection] : connections_) {
+      if (!connection->admin() && connection->cntlid() == cntlid && cntlid != 0) connection->close();
     }
   }
-  backend_.closed(id);
+  backend_.connection_closed(id);
 }
 
 }  // namespace heronworks::nvme
--- a/src/nvme/target.h
+++ b/src/nvme/target.h
@@ -1,54 +1,60 @@
-// The controller's end: accepts connections, brings them up, gathers the data of writes, and hands commands
-// to a backend, which completes each once, in any order.
+// NVMe over TCP target: accepts connections, initializes them, receives the data of writes, and passes
+// commands to a backend, which completes each of them once, in any order.
 //
-// Bounds: a connection whose answers are not read, or that has as many commands out as its queue holds, is
-// not read any further, so its peer waits; nobody else does.
+// Memory is bounded per connection: while a peer does not read its completions, or has as many commands
+// outstanding as its queue holds, its connection is not read, so that only this peer waits.
 #pragma once
 
 #include <map>
 #include <unordered_map>
 
 #include "loop/stream.h"
-#include "nvme/framing.h"
+#include "nvme/pdu.h"
 
 namespace heronworks::nvme {
 
-using ConnectionId = std::uint64_t;  // never used again
+using ConnectionId = std::uint64_t;  // never reused
 
 struct Command {
   ConnectionId connection = 0;
   Sqe sqe;
-  Bytes data;     // of a write
-  double at = 0;  // as TargetOptions::arrival says
+  Bytes data;             // of a write
+  double arrived_at = 0;  // s of the loop's clock, see TargetOptions::arrival_source
 };
 
-// Which time a command gets: of reading, the kernel's newest mark on its bytes, or the earliest that it can
-// be.
-enum class Arrival { kRead, kMarked, kEarliest };
+// How the arrival time of a command is determined.
+enum class ArrivalSource {
+  kReadTime,          // when its bytes were read
+  kKernelTimestamp,   // receive timestamp of the kernel for the newest of its bytes
+  kEarliestPossible,  // lower bound, see Loop::earliest_arrival
+};
 
 struct TargetOptions {
-  std::string subsystem;
-  std::uint16_t queue_size = 128;   // commands of one I/O queue
-  std::uint8_t mdts = 6;            // most data of a command: 4096 << mdts bytes
-  std::uint32_t in_capsule = 8192;  // bytes of data in a capsule
-  std::size_t most_connections = 1024;
-  double retry_delay = 0.1;  // s that CRD 1 means, rounded up to 0.1; CRD 2 and 3 mean 4 and 16 times it
-  Arrival arrival = Arrival::kRead;
-  double bring_up_time = 5;  // s in which a connection must be up
+  std::string subnqn;
+  std::uint16_t max_queue_size = 128;         // entries of an I/O queue
+  std::uint8_t mdts = 6;                      // maximum data transfer size: 4096 << mdts bytes
+  std::uint32_t in_capsule_data_size = 8192;  // bytes, on I/O queues
+  std::size_t max_connections = 1024;
+  double retry_delay = 0.1;  // s; CRDT1, rounded up to 0.1 s. CRDT2 and CRDT3 are 4 and 16 times as long
+  ArrivalSource arrival_source = ArrivalSource::kReadTime;
+  double connect_timeout = 5;  // s from accept to the completion of Connect
 };
 
+// Executes the commands of a target.
 class Backend {
  public:
   virtual ~Backend() = default;
-  // Fills a page of 4096 bytes; the page of the controller itself is filled before and may be changed.
+  // Fills a page of 4096 bytes. For Identify Controller the target has filled the page before the call.
   virtual Status identify(std::uint8_t cns, std::uint8_t csi, std::uint32_t nsid, Bytes& page) = 0;
-  virtual void command(Command&& command) = 0;
-  // Asked for a log page; completed like a command.
-  virtual void log_page(ConnectionId connection, std::uint16_t cid, std::uint8_t page, std::uint64_t offset,
-                        std::uint32_t length) = 0;
-  virtual void admitted(ConnectionId, const std::string& /*host name*/, bool /*admin*/,
-                        const Address& /*peer*/) {}
-  virtual void closed(ConnectionId connection) = 0;
+  // Executes an I/O command, to be completed by Target::complete.
+  virtual void execute_command(Command&& command) = 0;
+  // Reads `length` bytes of log page `lid` from byte `offset`, to be completed by Target::complete.
+  virtual void get_log_page(ConnectionId connection, std::uint16_t cid, std::uint8_t lid,
+                            std::uint64_t offset, std::uint32_t length) = 0;
+  // A connection's Connect command succeeded.
+  virtual void connection_established(ConnectionId, const std::string& /*hostnqn*/, bool /*admin*/,
+                                      const Address& /*peer*/) {}
+  virtual void connection_closed(ConnectionId connection) = 0;
 };
 
 class TargetConnection;
@@ -61,36 +67,38 @@
   Target& operator=(const Target&) = delete;
 
   Address address() const { return listener_->address(); }
-  // Ends a command. `data` goes before the completion. False if the connection is gone.
+  // Completes a command. `data` is sent before the completion if the status is success. Returns false if the
+  // connection has closed.
   bool complete(ConnectionId connection, std::uint16_t cid, Status status, std::uint64_t result = 0,
-                View data = {});
-  // Sends an event to whoever waits for one; remembered once for each connection that is between two waits.
-  void notify(std::uint32_t event);
-  // Ends the connection as it is; commands on it get no answer. For stand-ins that misbehave.
-  void reset(ConnectionId connection);
-  void reset_all();
+                ByteView data = {});
+  // Completes an Asynchronous Event Request on each admin connection with `event`, the completion's dword 0.
+  // A connection without an outstanding request gets its latest event with its next request.
+  void send_async_event(std::uint32_t event);
+  // Closes the connection without completing its commands.
+  void reset_connection(ConnectionId connection);
+  void reset_all_connections();
   void stop_accepting() { listener_.reset(); }
-  std::size_t connections() const { return connections_.size(); }
-  std::size_t unsent() const;
+  std::size_t connection_count() const { return connections_.size(); }
+  std::size_t unsent_bytes() const;  // of all connections
 
  private:
   friend class TargetConnection;
-  void accepted(Fd fd);
-  void drop(ConnectionId id);
+  void accept_connection(Fd fd);
+  void remove_connection(ConnectionId id);
 
   struct Association {
-    std::string host;
-    ConnectionId admin = 0;
+    std::string hostnqn;
+    ConnectionId admin_connection = 0;
   };
 
   Loop& loop_;
   const TargetOptions options_;
   Backend& backend_;
   std::unique_ptr<Listener> listener_;
-  std::unordered_map<ConnectionId, std::unique_ptr<TargetConnection>> connections_;  // bounded by options
-  std::map<std::uint16_t, Association> associations_;  // by controller; gone with the admin connection
-  ConnectionId last_connection_ = 0;
-  std::uint16_t last_controller_ = 0;
+  std::unordered_map<ConnectionId, std::unique_ptr<TargetConnection>> connections_;  // up to max_connections
+  std::map<std::uint16_t, Association> associations_;  // by CNTLID; removed with the admin connection
+  ConnectionId last_connection_id_ = 0;
+  std::uint16_t last_cntlid_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -1,24 +1,26 @@
-// libFuzzer targets, out of CI: PDUs at both ends, HTTP messages, and expressions. `make fuzz` runs each for
-// a minute.
+// libFuzzer targets: NVMe/TCP PDUs (FUZZ_PDU), HTTP messages (FUZZ_HTTP) and, with neither macro,
+// expressions. run.sh fuzzes them; replay.cpp runs them over the stored corpora.
 #include <cstddef>
 #include <cstdint>
 
 #ifdef FUZZ_PDU
-#include "nvme/framing.h"
+#include "nvme/pdu.h"
 
+// The first byte selects the receiving role and the digests; the rest is parsed as a stream of PDUs.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace heronworks::nvme;
+  constexpr std::uint32_t kMaxPduSize = 1 << 16;
   if (size < 1) return 0;
-  Framing f((data[0] & 1) != 0 ? End::kHost : End::kController, 1 << 16);
-  f.set_digests({(data[0] & 2) != 0, (data[0] & 4) != 0});
-  View rest(data + 1, size - 1);
+  PduParser parser((data[0] & 1) != 0 ? Role::kHost : Role::kController, kMaxPduSize);
+  parser.set_digests({(data[0] & 2) != 0, (data[0] & 4) != 0});
+  ByteView unparsed(data + 1, size - 1);
   while (true) {
-    std::size_t used = 0;
+    std::size_t consumed = 0;
     std::optional<FatalError> error;
-    const auto pdu = f.next(rest, used, error);
-    if (!pdu || used == 0 || used > rest.size()) return 0;
-    if (pdu->data.size() > used || pdu->head.size() > used) __builtin_trap();
-    rest = rest.subspan(used);
+    const auto pdu = parser.parse(unparsed, consumed, error);
+    if (!pdu || consumed == 0 || consumed > unparsed.size()) return 0;
+    if (pdu->data.size() > consumed || pdu->header_bytes.size() > consumed) __builtin_trap();
+    unparsed = unparsed.subspan(consumed);
   }
 }
 #elif defined(FUZZ_HTTP)
@@ -26,36 +28,40 @@
 
 #include "http/reader.h"
 
-// One piece, and byte by byte: the same end.
+// The first byte selects requests or responses. Parsing the rest at once and byte by byte must give one
+// result.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace heronworks::http;
   if (size < 1) return 0;
   const Kind kind = (data[0] & 1) != 0 ? Kind::kRequest : Kind::kAnswer;
   const Bounds bounds{256, 64, 8};
-  const std::span<const std::uint8_t> all(data + 1, size - 1);
-  Reader a(kind, bounds);
-  const auto used = a.put(all);
-  if (used > all.size()) __builtin_trap();
-  Reader b(kind, bounds);
-  std::size_t from = 0;
-  for (std::size_t to = 1; to <= all.size() && !b.done() && b.fault() == Fault::kNone; ++to) {
-    from += b.put(all.subspan(from, to - from));
+  const std::span<const std::uint8_t> input(data + 1, size - 1);
+  Reader at_once(kind, bounds);
+  const auto at_once_used = at_once.put(input);
+  if (at_once_used > input.size()) __builtin_trap();
+  Reader bytewise(kind, bounds);
+  std::size_t bytewise_used = 0;
+  for (std::size_t end = 1; end <= input.size() && !bytewise.done() && bytewise.fault() == Fault::kNone;
+       ++end) {
+    bytewise_used += bytewise.put(input.subspan(bytewise_used, end - bytewise_used));
   }
-  if (a.done() != b.done() || (a.done() && used != from)) __builtin_trap();
-  if ((a.fault() == Fault::kNone) != (b.fault() == Fault::kNone)) __builtin_trap();
-  if (a.done() && a.message().body != b.message().body) __builtin_trap();
-  if (a.message().body.size() > bounds.body) __builtin_trap();
+  if (at_once.done() != bytewise.done() || (at_once.done() && at_once_used != bytewise_used))
+    __builtin_trap();
+  if ((at_once.fault() == Fault::kNone) != (bytewise.fault() == Fault::kNone)) __builtin_trap();
+  if (at_once.done() && at_once.message().body != bytewise.message().body) __builtin_trap();
+  if (at_once.message().body.size() > bounds.body) __builtin_trap();
   return 0;
 }
 #else
 #include "expr/program.h"
 
+// Compiles the input as an expression and runs it within the cost that the compiler computed.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace heronworks::expr;
   std::vector<Fault> faults;
-  const auto p = compile(std::string_view(reinterpret_cast<const char*>(data), size), {}, Limits{},
-                         std::nullopt, faults);
-  if (!p) {
+  const auto program = compile(std::string_view(reinterpret_cast<const char*>(data), size), {}, Limits{},
+                               std::nullopt, faults);
+  if (!program) {
     if (faults.empty()) __builtin_trap();
     return 0;
   }
@@ -63,10 +69,10 @@
   for (std::size_t i = 0; i < kFields; ++i) {
     if (fields()[i].type == kString) record.values[i] = Value(std::string_view("text"));
   }
-  Machine m;
-  Value v;
-  m.run(*p, record, v);
-  if (m.spent() > p->cost) __builtin_trap();
+  Machine machine;
+  Value value;
+  machine.run(*program, record, value);
+  if (machine.spent() > program->cost) __builtin_trap();
   return 0;
 }
 #endif
--- a/tests/fuzz/replay.cpp
+++ b/tests/fuzz/replay.cpp
@@ -1,4 +1,5 @@
-// Runs a fuzz target over the files of a folder, so that CI needs no fuzzing compiler.
+// Runs a fuzz target over the files of corpus folders, without libFuzzer. Usage: replay FOLDER...
+// Exits with 1 if there are fewer than kMinInputs files, as with a wrong path.
 #include <cstddef>
 #include <cstdint>
 #include <cstdio>
@@ -9,16 +10,18 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size);
 
+constexpr int kMinInputs = 50;
+
 int main(int argc, char** argv) {
-  int count = 0;
+  int inputs = 0;
   for (int i = 1; i < argc; ++i) {
-    for (const auto& f : std::filesystem::directory_iterator(argv[i])) {
-      std::ifstream in(f.path(), std::ios::binary);
+    for (const auto& file : std::filesystem::directory_iterator(argv[i])) {
+      std::ifstream in(file.path(), std::ios::binary);
       const std::vector<char> bytes{std::istreambuf_iterator<char>(in), {}};
       LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
-      ++count;
+      ++inputs;
     }
   }
-  std::printf("%d inputs\n", count);
-  return count >= 50 ? 0 : 1;
+  std::printf("%d inputs\n", inputs);
+  return inputs >= kMinInputs ? 0 : 1;
 }
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -28,7 +28,7 @@
                                                                               : r.nodes[1]->came.at(1);
     CHECK(w.sqe.slba() == 64);
     CHECK(w.data == nvme::Bytes(16 * 4096, 2));
-    CHECK(w.sqe.label() == 1002);
+    CHECK(w.sqe.idempotency_key() == 1002);
     CHECK(w.sqe.time_left() > 0.1);
   }
 }
@@ -82,29 +82,29 @@
   std::set<std::uint64_t> appends;
   for (auto& n : r.nodes) {
     for (const auto& k : n->came) {
-      ++first[k.sqe.label()];
-      if (k.sqe.opcode == nvme::opcode::kZoneAppend) appends.insert(k.sqe.label());
+      ++first[k.sqe.idempotency_key()];
+      if (k.sqe.opcode == nvme::opcode::kZoneAppend) appends.insert(k.sqe.idempotency_key());
     }
     n->came.clear();
     n->answers = st::kOk;
-    n->target->reset_all();
+    n->target->reset_all_connections();
   }
   REQUIRE(r.until([&] { return c.answers.size() == 30; }));
   CHECK_FALSE(c.twice);
   std::map<std::uint64_t, int> again;
   for (auto& n : r.nodes) {
-    for (const auto& k : n->came) ++again[k.sqe.label()];
+    for (const auto& k : n->came) ++again[k.sqe.idempotency_key()];
   }
   for (const auto& [label, n] : first) {
     if (appends.contains(label)) {
       CHECK(again[label] == 0);
-      CHECK(c.status(label - 1000) == st::kInternalPath);
+      CHECK(c.status(label - 1000) == st::kInternalPathError);
     } else {
       CHECK(c.status(label - 1000) == st::kOk);
       CHECK(again[label] == 1);
     }
   }
-  CHECK(c.count(st::kOk) + c.count(st::kInternalPath) + c.count(st::kCommandInterrupted) == 30);
+  CHECK(c.count(st::kOk) + c.count(st::kInternalPathError) + c.count(st::kCommandInterrupted) == 30);
 }
 
 TEST_CASE("a labelled write is not sent again outside its window") {
@@ -118,9 +118,9 @@
   REQUIRE(r.until([&] { return r.nodes[0]->came.size() == 1; }));
   r.run(0.1);
   r.nodes[0]->answers = st::kOk;
-  r.nodes[0]->target->reset_all();
+  r.nodes[0]->target->reset_all_connections();
   REQUIRE(r.until([&] { return c.answers.size() == 1; }));
-  CHECK(c.status(1) == st::kInternalPath);
+  CHECK(c.status(1) == st::kInternalPathError);
   CHECK(r.nodes[0]->came.size() == 1);
 }
 
@@ -143,11 +143,11 @@
     r.run(0.8);
     r.nodes[0]->answers = st::kOk;
     nvme::TargetOptions o;
-    o.subsystem = "nqn.2026-11.org.heronworks:node";
+    o.subnqn = "nqn.2026-11.org.heronworks:node";
     r.nodes[0]->target = std::make_unique<nvme::Target>(r.loop, Fd(::dup(mute.get())), o, *r.nodes[0]);
   }
   REQUIRE(r.until([&] { return c.answers.size() == 1; }));
-  CHECK(c.status(1) == st::kInternalPath);
+  CHECK(c.status(1) == st::kInternalPathError);
   CHECK(r.nodes[0]->came.size() == 1);
 }
 
@@ -160,11 +160,11 @@
   REQUIRE(r.until([&] { return r.nodes[0]->came.size() + r.nodes[1]->came.size() >= 2; }));
   REQUIRE(r.until([&] { return c.answers.size() == 1; }));
   CHECK(c.status(1) == st::kCommandInterrupted);  // harmless to try again: it never ran
-  r.nodes[0]->answers = r.nodes[1]->answers = st::kInternal;
+  r.nodes[0]->answers = r.nodes[1]->answers = st::kInternalError;
   const auto before = r.nodes[0]->came.size() + r.nodes[1]->came.size();
   c.append(2);
   REQUIRE(r.until([&] { return c.answers.size() == 2; }));
-  CHECK(c.status(2) == st::kInternalPath);
+  CHECK(c.status(2) == st::kInternalPathError);
   CHECK(r.nodes[0]->came.size() + r.nodes[1]->came.size() == before + 1);
 }
 
@@ -281,7 +281,7 @@
   REQUIRE(r.until([&] { return c.answers.size() == 2; }));
   CHECK_FALSE(c.status(1).ok());
   CHECK(r.nodes[0]->came.size() <= 1);
-  for (const auto& k : r.nodes[0]->came) CHECK(k.sqe.label() == 1002);
+  for (const auto& k : r.nodes[0]->came) CHECK(k.sqe.idempotency_key() == 1002);
 }
 
 TEST_CASE("SIGTERM's drain: nothing new, all that was taken is answered") {
@@ -365,8 +365,8 @@
   const auto page = gateway::encode_list(r.all_ready(), 3, "s");
   std::string reason;
   CHECK(gateway::decode_list(page, reason)->size() == 2);
-  CHECK_FALSE(gateway::decode_list(nvme::View(page).first(1000), reason));
-  CHECK_FALSE(gateway::decode_list(nvme::View(page).first(2048), reason));
+  CHECK_FALSE(gateway::decode_list(nvme::ByteView(page).first(1000), reason));
+  CHECK_FALSE(gateway::decode_list(nvme::ByteView(page).first(2048), reason));
   CHECK(reason == "fewer bytes than the records announced");
   auto broken = page;
   broken[1024 + 992] = 'X';
--- a/tests/gateway/ledger_test.cpp
+++ b/tests/gateway/ledger_test.cpp
@@ -47,7 +47,7 @@
   q.opcode = nvme::opcode::kRead;
   q.nsid = 2;
   q.set_blocks(2);
-  q.set_label(1001);
+  q.set_idempotency_key(1001);
   c.host->submit(2, q, nullptr, 2 * 4096);
   REQUIRE(r.until([&] { return c.answers.size() == 2; }));
   c.read(top, 5);
--- a/tests/gateway/match_test.cpp
+++ b/tests/gateway/match_test.cpp
@@ -55,7 +55,7 @@
     q.nsid = volume;
     q.set_slba(lba);
     q.set_blocks(blocks);
-    q.set_origin(attempt, 0, 0);
+    q.set_dispatch_info(attempt, 0, 0);
     nvme::Status refused;
     const auto m = matcher->match(q, {"nqn.test", *expr::parse_address("10.0.0.1")}, 1, 1e9, refused);
     REQUIRE(m);
--- a/tests/gateway/orderings_test.cpp
+++ b/tests/gateway/orderings_test.cpp
@@ -57,7 +57,7 @@
         for (auto& n : nodes) answer(*n, st::kCommandInterrupted);
         break;
       case kBreaks:
-        for (auto& n : nodes) n->target->reset_all();
+        for (auto& n : nodes) n->target->reset_all_connections();
         break;
       case kLeaves:
         leaves->host->close("leaves");
@@ -99,7 +99,7 @@
     CHECK(c.refused + c.at_door == 0);
     std::map<std::uint64_t, std::vector<std::uint8_t>> reached;
     for (auto& n : nodes) {
-      for (const auto& k : n->came) reached[k.sqe.label()].push_back(k.sqe.opcode);
+      for (const auto& k : n->came) reached[k.sqe.idempotency_key()].push_back(k.sqe.opcode);
     }
     CHECK(c.dispatched >= came());
     // Of the append: once more only after the node's word that it never ran.
--- a/tests/gateway/peer_test.cpp
+++ b/tests/gateway/peer_test.cpp
@@ -16,7 +16,7 @@
  public:
   Raw(Loop& loop, const Address& at) : stream(loop, connect_to(at), *this, true) {}
   void connected() override { up = true; }
-  std::size_t received(nvme::View b) override {
+  std::size_t received(nvme::ByteView b) override {
     in.insert(in.end(), b.begin(), b.end());
     return b.size();
   }
@@ -28,7 +28,7 @@
     nvme::append_pdu(out, nvme::bytes_of(ic), {}, {});
     stream.send(out);
   }
-  void command(const nvme::Sqe& sqe, nvme::View data = {}) {
+  void command(const nvme::Sqe& sqe, nvme::ByteView data = {}) {
     nvme::CapsuleCmd c{{}, sqe};
     c.header.type = static_cast<std::uint8_t>(nvme::PduType::kCapsuleCmd);
     nvme::Bytes out;
@@ -41,12 +41,12 @@
     c.nsid = nvme::fabrics::kConnect;
     c.cdw10 = static_cast<std::uint32_t>(queue) << 16;
     c.cdw11 = 127;
-    c.sgl_type = nvme::kSglInCapsule;
+    c.sgl_type = nvme::kSglDataBlockOffset;
     c.sgl_length = 1024;
     nvme::ConnectData d;
-    d.controller = controller;
-    nvme::put_text(d.subsystem, "nqn.2026-11.org.heronworks:gateway");
-    nvme::put_text(d.host, "raw");
+    d.cntlid = controller;
+    nvme::put_text(d.subnqn, "nqn.2026-11.org.heronworks:gateway");
+    nvme::put_text(d.hostnqn, "raw");
     command(c, nvme::bytes_of(d));
   }
   // Completions that came so far, in order.
@@ -54,10 +54,10 @@
     std::vector<nvme::Cqe> out;
     std::size_t at = 0;
     while (at + 8 <= in.size()) {
-      const auto h = nvme::read_as<nvme::PduHeader>(nvme::View(in).subspan(at));
+      const auto h = nvme::read_as<nvme::PduHeader>(nvme::ByteView(in).subspan(at));
       if (at + h.plen > in.size() || h.plen < 8) break;
       if (h.type == static_cast<std::uint8_t>(nvme::PduType::kCapsuleResp))
-        out.push_back(nvme::read_as<nvme::CapsuleResp>(nvme::View(in).subspan(at)).cqe);
+        out.push_back(nvme::read_as<nvme::CapsuleResp>(nvme::ByteView(in).subspan(at)).cqe);
       at += h.plen;
     }
     return out;
@@ -79,7 +79,7 @@
     REQUIRE(r.until([&] { return admin.completions().size() == 1; }));
     io.connect(1, static_cast<std::uint16_t>(admin.completions()[0].dw0));
     REQUIRE(r.until([&] { return io.completions().size() == 1; }));
-    REQUIRE(nvme::Status::from(io.completions()[0].status).ok());
+    REQUIRE(nvme::Status::from_field(io.completions()[0].status).ok());
   }
   nvme::Sqe read(std::uint16_t cid) const {
     nvme::Sqe q;
@@ -87,7 +87,7 @@
     q.nsid = 1;
     q.cid = cid;
     q.set_blocks(1);
-    q.sgl_type = nvme::kSglTransport;
+    q.sgl_type = nvme::kSglTransportDataBlock;
     q.sgl_length = 4096;
     return q;
   }
@@ -106,11 +106,11 @@
   REQUIRE(r.until([&] { return r.nodes[0]->came.size() == 1; }));
   q.io.command(q.read(9));
   REQUIRE(r.until([&] { return q.io.completions().size() == 2; }));
-  CHECK(nvme::Status::from(q.io.completions()[1].status) == st::kIdConflict);
+  CHECK(nvme::Status::from_field(q.io.completions()[1].status) == st::kCommandIdConflict);
   CHECK(r.nodes[0]->came.size() == 1);
   r.nodes[0]->answer(0);
   REQUIRE(r.until([&] { return q.io.completions().size() == 3; }));
-  CHECK(nvme::Status::from(q.io.completions()[2].status).ok());
+  CHECK(nvme::Status::from_field(q.io.completions()[2].status).ok());
 }
 
 TEST_CASE(
@@ -121,7 +121,7 @@
   RawQueue q(r);
   nvme::Sqe w = q.read(3);
   w.opcode = nvme::opcode::kWrite;
-  w.sgl_type = nvme::kSglInCapsule;
+  w.sgl_type = nvme::kSglDataBlockOffset;
   const nvme::Bytes block(4096, 1);
   q.io.command(w, block);
   REQUIRE(r.until([&] { return r.nodes[0]->came.size() == 1; }));
@@ -138,10 +138,10 @@
   CHECK(r.nodes[0]->came.size() == 1);
   RawQueue other(r);
   nvme::Sqe bad = other.read(4);
-  bad.sgl_type = nvme::kSglInCapsule;
+  bad.sgl_type = nvme::kSglDataBlockOffset;
   other.io.command(bad);
   REQUIRE(r.until([&] { return other.io.completions().size() == 2; }));
-  CHECK(nvme::Status::from(other.io.completions()[1].status) == st::kInvalidSgl);
+  CHECK(nvme::Status::from_field(other.io.completions()[1].status) == st::kInvalidSglDescriptorType);
 }
 
 TEST_CASE("10,000 commands without reading an answer: that client waits, the others do not") {
@@ -206,7 +206,7 @@
   r.run(0.2);
   for (auto& p : raws) {
     for (std::size_t at = 0; at + 8 <= p->in.size();) {
-      const auto h = nvme::read_as<nvme::PduHeader>(nvme::View(p->in).subspan(at));
+      const auto h = nvme::read_as<nvme::PduHeader>(nvme::ByteView(p->in).subspan(at));
       if (h.plen < 8) break;
       if (h.type == static_cast<std::uint8_t>(nvme::PduType::kC2hTermReq)) ++terms;
       at += h.plen;
@@ -227,7 +227,7 @@
   std::uint32_t x = 7;
   const auto next = [&] { return x = x * 1664525 + 1013904223, x >> 8; };
   struct Mute final : StreamOwner {
-    std::size_t received(nvme::View b) override { return b.size(); }
+    std::size_t received(nvme::ByteView b) override { return b.size(); }
     void lost(const std::string&) override {}
   } mute;
   int downs = 0;
@@ -240,7 +240,7 @@
       if (next() % 2 == 0) {
         nvme::InitConnection ic;
         ic.header.type = static_cast<std::uint8_t>(nvme::PduType::kIcResp);
-        ic.most = 4096;
+        ic.maxr2t_or_maxh2cdata = 4096;
         nvme::Bytes whole;
         nvme::append_pdu(whole, nvme::bytes_of(ic), {}, {});
         junk[0] = static_cast<std::uint8_t>(next() % 10);
--- a/tests/gateway/rig.h
+++ b/tests/gateway/rig.h
@@ -21,7 +21,7 @@
   ScriptNode(Loop& loop, const Address& at = {"127.0.0.1", 0}) : loop_(loop) { up(at); }
   void up(const Address& at) {
     nvme::TargetOptions o;
-    o.subsystem = "nqn.2026-11.org.heronworks:node";
+    o.subnqn = "nqn.2026-11.org.heronworks:node";
     o.mdts = 8;
     Fd fd = listen_on(at);
     if (!fd) throw std::runtime_error("cannot listen");
@@ -34,12 +34,12 @@
     target->complete(c.connection, c.sqe.cid, status, result, data);
   }
   nvme::Status identify(std::uint8_t, std::uint8_t, std::uint32_t, nvme::Bytes&) override { return {}; }
-  void command(nvme::Command&& c) override {
+  void execute_command(nvme::Command&& c) override {
     came.push_back(std::move(c));
     if (answers) answer(came.size() - 1, *answers);
   }
-  void log_page(nvme::ConnectionId, std::uint16_t, std::uint8_t, std::uint64_t, std::uint32_t) override {}
-  void closed(nvme::ConnectionId) override {}
+  void get_log_page(nvme::ConnectionId, std::uint16_t, std::uint8_t, std::uint64_t, std::uint32_t) override {}
+  void connection_closed(nvme::ConnectionId) override {}
 
   std::vector<nvme::Command> came;
   std::optional<nvme::Status> answers = nvme::status::kOk;
@@ -54,25 +54,26 @@
  public:
   explicit ScriptList(Loop& loop) {
     nvme::TargetOptions o;
-    o.subsystem = nvme::kDiscoveryName;
+    o.subnqn = nvme::kDiscoveryNqn;
     target = std::make_unique<nvme::Target>(loop, listen_on({"127.0.0.1", 0}), o, *this);
   }
   void change(std::vector<gateway::ListedNode> to) {
     nodes = std::move(to);
-    target->notify(nvme::kDiscoveryChanged);
+    target->send_async_event(nvme::kEventDiscoveryLogChanged);
   }
   nvme::Status identify(std::uint8_t, std::uint8_t, std::uint32_t, nvme::Bytes&) override { return {}; }
-  void command(nvme::Command&&) override {}
-  void log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t, std::uint64_t offset,
-                std::uint32_t length) override {
+  void execute_command(nvme::Command&&) override {}
+  void get_log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t, std::uint64_t offset,
+                    std::uint32_t length) override {
     if (offset > 0 && between) std::exchange(between, nullptr)();
     auto bytes = gateway::encode_list(nodes, 1, "x");
     if (offset > bytes.size()) bytes.resize(offset + length);
-    const auto part = nvme::View(bytes).subspan(offset, std::min<std::size_t>(length, bytes.size() - offset));
+    const auto part =
+        nvme::ByteView(bytes).subspan(offset, std::min<std::size_t>(length, bytes.size() - offset));
     target->complete(connection, cid, nvme::status::kOk, 0, part);
     ++asked;
   }
-  void closed(nvme::ConnectionId) override {}
+  void connection_closed(nvme::ConnectionId) override {}
 
   std::function<void()> between;  // once, before a part that is not the first
   std::vector<gateway::ListedNode> nodes;
@@ -85,9 +86,9 @@
   ScriptClient(Loop& loop, const Address& address, std::uint16_t depth = 128, nvme::Digests digests = {}) {
     nvme::HostOptions o;
     o.address = address;
-    o.subsystem = "nqn.2026-11.org.heronworks:gateway";
-    o.depth = depth;
-    o.keep_alive = 0;
+    o.subnqn = "nqn.2026-11.org.heronworks:gateway";
+    o.io_queue_size = depth;
+    o.keep_alive_timeout = 0;
     o.digests = digests;
     o.connect_timeout = 5;
     host = std::make_unique<nvme::Host>(loop, o, *this);
@@ -97,7 +98,7 @@
     if (answers.contains(token)) twice = true;
     answers[token] = std::move(c);
   }
-  void down(const std::string& r) override { reason = r; }
+  void disconnected(const std::string& r) override { reason = r; }
 
   void read(std::uint64_t token, std::uint64_t lba, std::uint32_t blocks = 1, double left = 0) {
     nvme::Sqe c;
@@ -119,7 +120,7 @@
     c.nsid = 1;
     c.set_slba(lba);
     c.set_blocks(blocks);
-    c.set_label(token + 1000);
+    c.set_idempotency_key(token + 1000);
     c.set_time_left(left);
     auto data = reads ? nullptr : std::make_shared<const nvme::Bytes>(blocks * 4096, std::uint8_t(token));
     host->submit(token, c, data, reads ? blocks * 4096 : 0);
--- a/tests/lab/node_test.cpp
+++ b/tests/lab/node_test.cpp
@@ -17,7 +17,7 @@
 struct Client final : nvme::HostOwner {
   void ready() override { up = true; }
   void completed(std::uint64_t token, nvme::Completion&& c) override { answers[token] = c.status(); }
-  void down(const std::string&) override {}
+  void disconnected(const std::string&) override {}
   bool up = false;
   std::map<std::uint64_t, nvme::Status> answers;
 };
@@ -41,7 +41,7 @@
   Client client;
   nvme::HostOptions h;
   h.address = node.address();
-  h.subsystem = kNodeSubsystem;
+  h.subnqn = kNodeSubsystem;
   nvme::Host host(loop, h, client);
   const auto until = [&](const std::function<bool()>& done) {
     const double end = clock.now() + 20;
@@ -56,7 +56,7 @@
     c.opcode = nvme::opcode::kWrite;
     c.nsid = volume;
     c.set_blocks(1);
-    c.set_label(label_of(7, quote));
+    c.set_idempotency_key(label_of(7, quote));
     host.submit(token, c, std::make_shared<const nvme::Bytes>(day->block_bytes, std::uint8_t(token)), 0);
     REQUIRE(until([&] { return client.answers.contains(token); }));
     CHECK(client.answers[token].ok());
