--- a/src/nvme/host.cpp
+++ b/src/nvme/host.cpp
@@ -447,7 +447,7 @@
           mdts == 0 || mdts > kLargestMdts ? kDefaultMaxTransferSize : std::uint32_t{4096} << mdts;
       const auto ioccsz = read_as<std::uint32_t>(
           ByteView(completion.data).subspan(identify_offset::kIoccsz));  // 16 bytes each
-      in_capsule_data_size_ = ioccsz >= 4 ? ioccsz * 16 - sizeof(Sqe) : 0;
+      in_capsule_data_size_ = ioccsz >= 4 ? ioccsz * 16 - kSqeSize : 0;
       if (options_.io_queue_size == 0) return become_ready();
       sqe.opcode = opcode::kSetFeatures;
       sqe.cdw10 = kFeatureNumberOfQueues;
--- a/src/nvme/spec.h
+++ b/src/nvme/spec.h
@@ -163,6 +163,8 @@
 };
 static_assert(sizeof(Sqe) == 64 && offsetof(Sqe, sgl_type) == 39 && offsetof(Sqe, cdw10) == 40);
 
+constexpr std::uint32_t kSqeSize = sizeof(Sqe);  // bytes
+
 struct CapsuleCmd {
   PduHeader header;
   Sqe sqe;
--- a/src/nvme/target.cpp
+++ b/src/nvme/target.cpp
@@ -474,7 +474,7 @@
     put(kSubnqn, std::array<char, 256>{});
     std::memcpy(page.data() + kSubnqn, target_.options_.subnqn.data(),
                 std::min<std::size_t>(target_.options_.subnqn.size(), 223));
-    put(kIoccsz, static_cast<std::uint32_t>((sizeof(Sqe) + target_.options_.in_capsule_data_size) / 16));
+    put(kIoccsz, static_cast<std::uint32_t>((kSqeSize + target_.options_.in_capsule_data_size) / 16));
     put(kIorcsz, std::uint32_t{1});  // in 16 bytes
     page[kMsdbd] = 1;
   }
