--- a/bench/wire.cpp
+++ b/bench/wire.cpp
@@ -65,7 +65,7 @@
   const pid_t pid = ::fork();
   if (pid == 0) {
     serve([&](const Address& address) {
-      const std::string text = address.text() + "\n";
+      const std::string text = address.to_string() + "\n";
       if (::write(pipe_ends[1], text.data(), text.size()) < 0) std::exit(1);
       ::close(pipe_ends[1]);
     });
@@ -94,7 +94,7 @@
     const MonotonicClock clock;
     Loop loop(clock);
     NullNode list(loop, listen_on({"127.0.0.1", 0}), std::string(nvme::kDiscoveryNqn), false);
-    list.listed_nodes = {{node_address, 0, 0, Listing::kReady, 0}};
+    list.listed_nodes = {{node_address, 0, 0, NodeState::kReady, 0}};
     report_address(list.target->address());
     loop.run();
   });
@@ -126,7 +126,8 @@
   static int file_number = 0;
   const std::string path =
       "/tmp/heronworks-bench-" + std::to_string(::getpid()) + "-" + std::to_string(file_number++) + ".toml";
-  std::ofstream(path) << "[scheduler]\nlisten = \"127.0.0.1:0\"\n[list]\naddress = \"" << list_address.text()
+  std::ofstream(path) << "[scheduler]\nlisten = \"127.0.0.1:0\"\n[list]\naddress = \""
+                      << list_address.to_string()
                       << "\"\n[space]\nzone_blocks = 4096\nzones = 4\nshards = 1\n[log]\nlevel = \"error\"\n"
                       << "[limits]\nconnections = 5000\nopen = 20000\n"
                       << "[[profile]]\nname = \"r\"\ncontract = " << contract
@@ -279,7 +280,7 @@
       const double end = clock.now() + 10;
       while (clock.now() < end &&
              !std::all_of(clients.begin(), clients.end(), [](auto& client) { return client->host.ready(); }))
-        loop.turn(0.01);
+        loop.run_once(0.01);
     }
   }
   const double mib_connected = resident_mib(scheduler.pid);
@@ -287,7 +288,7 @@
   for (std::uint64_t i = 0; i < kTransactions; ++i)
     clients[i % clients.size()]->host.submit(i, read_command(i), nullptr, kBlockSize);
   const double end = clock.now() + 3;
-  while (clock.now() < end) loop.turn(0.01);
+  while (clock.now() < end) loop.run_once(0.01);
   std::printf(
       "\nresident memory of the scheduler: %.1f MiB without connections, %.1f MiB with 1,000 connections, "
       "%.1f MiB with 10,000 open transactions as well\n",
--- a/src/gateway/list_watch.cpp
+++ b/src/gateway/list_watch.cpp
@@ -44,7 +44,7 @@
     n.address = *address;
     n.zone = e.zone;
     n.shard = static_cast<int>(e.shard);
-    n.listing = e.node_state == 1 ? Listing::kReady : Listing::kDraining;
+    n.listing = e.node_state == 1 ? NodeState::kReady : NodeState::kDraining;
     n.came_up = e.started_at;
     nodes.push_back(std::move(n));
   }
@@ -67,7 +67,7 @@
     nvme::put_text(e.subnqn, subsystem);
     nvme::put_text(e.traddr, n.address.host, ' ');
     nvme::put_text(e.vendor_signature, "HWK1");
-    e.node_state = n.listing == Listing::kDraining ? 2 : 1;
+    e.node_state = n.listing == NodeState::kDraining ? 2 : 1;
     e.zone = static_cast<std::uint16_t>(n.zone);
     e.shard = static_cast<std::uint32_t>(n.shard);
     e.started_at = n.came_up;
@@ -93,7 +93,7 @@
       const int listing = j.at("listing").get<int>();
       if (!address || listing < 0 || listing > 2) return reason = "a broken entry", std::nullopt;
       nodes.push_back({*address, j.at("zone").get<int>(), j.at("shard").get<int>(),
-                       static_cast<Listing>(listing), j.at("came_up").get<std::uint64_t>()});
+                       static_cast<NodeState>(listing), j.at("came_up").get<std::uint64_t>()});
     }
   } catch (const nlohmann::json::exception& e) {
     return reason = e.what(), std::nullopt;
@@ -104,7 +104,7 @@
 bool save_list(const std::string& path, const std::vector<ListedNode>& nodes) {
   auto json = nlohmann::json::array();
   for (const ListedNode& n : nodes) {
-    json.push_back({{"address", n.address.text()},
+    json.push_back({{"address", n.address.to_string()},
                     {"zone", n.zone},
                     {"shard", n.shard},
                     {"listing", static_cast<int>(n.listing)},
@@ -151,7 +151,7 @@
   }
   fetching_ = true;
   again_ = false;
-  timer_ = loop_.at(loop_.now() + kCallTime, [this] {
+  timer_ = loop_.run_at(loop_.now() + kCallTime, [this] {
     if (host_) host_->close("the call for the list took too long");
   });
   page_.clear();
--- a/src/gateway/node_link.cpp
+++ b/src/gateway/node_link.cpp
@@ -10,11 +10,11 @@
 constexpr double kDrainStuck = 0.1;  // s after which bytes still here at a draining node close the connection
 
 Outcome outcome_of(const nvme::Completion& c) {
-  if (!c.arrived) return c.written ? Outcome::kReset : Outcome::kNoConnection;
+  if (!c.arrived) return c.written ? Outcome::kReset : Outcome::kConnectFailed;
   const nvme::Status s = c.status();
-  if (s.ok()) return Outcome::kHonoured;
-  if (s == nvme::status::kCommandInterrupted) return Outcome::kFull;  // a node's word that it never ran
-  if (s == nvme::status::kAbortRequested) return Outcome::kTimedOut;  // its time was up before it began
+  if (s.ok()) return Outcome::kSucceeded;
+  if (s == nvme::status::kCommandInterrupted) return Outcome::kQueueFull;  // a node's word that it never ran
+  if (s == nvme::status::kAbortRequested) return Outcome::kTimedOut;       // its time was up before it began
   return Outcome::kError;
 }
 
@@ -22,7 +22,7 @@
 
 NodeLink::NodeLink(Loop& loop, int node, Options options, NodeLinkOwner& owner)
     : loop_(loop), node_(node), options_(std::move(options)), owner_(owner), used_at_(loop.now()) {
-  idle_ = loop_.at(loop_.now() + options_.idle_close, [this] { check_idle(); });
+  idle_ = loop_.run_at(loop_.now() + options_.idle_close, [this] { check_idle(); });
 }
 
 NodeLink::~NodeLink() {
@@ -42,12 +42,12 @@
   const double until = dispatch.until;
   Entry& entry = sent_[token];
   entry.dispatch = std::move(dispatch);
-  entry.timer = loop_.at(until, [this, token] { timed_out(token); });
+  entry.timer = loop_.run_at(until, [this, token] { timed_out(token); });
   if (waiting_.size() >= options_.most_waiting) {
     // Told later: the module is in the middle of its decision.
     loop_.cancel(entry.timer);
-    entry.timer = loop_.at(loop_.now(), [this, token] {
-      if (auto node = sent_.extract(token)) finish(std::move(node.mapped()), Outcome::kNoConnection, {});
+    entry.timer = loop_.run_at(loop_.now(), [this, token] {
+      if (auto node = sent_.extract(token)) finish(std::move(node.mapped()), Outcome::kConnectFailed, {});
     });
     return;
   }
@@ -110,7 +110,7 @@
   if (!written) waiting_.erase(at);
   else if (host_) host_->cancel(token);
   auto node = sent_.extract(token);
-  if (node) finish(std::move(node.mapped()), written ? Outcome::kTimedOut : Outcome::kNoConnection, {});
+  if (node) finish(std::move(node.mapped()), written ? Outcome::kTimedOut : Outcome::kConnectFailed, {});
   pump();
 }
 
@@ -125,16 +125,16 @@
 void NodeLink::disconnected(const std::string& reason) {
   owner_.link_changed(node_, "node.lost", reason);
   host_.reset();
-  if (!std::exchange(renewing_, false)) return end_waiting(Outcome::kNoConnection);
+  if (!std::exchange(renewing_, false)) return end_waiting(Outcome::kConnectFailed);
   if (!waiting_.empty()) open();
 }
 
 void NodeLink::drain() {
   draining_ = true;
-  end_waiting(Outcome::kNoConnection);
+  end_waiting(Outcome::kConnectFailed);
   if (!host_ || host_->unsent_bytes() == 0) return;
   loop_.cancel(stuck_);
-  stuck_ = loop_.at(loop_.now() + kDrainStuck, [this] {
+  stuck_ = loop_.run_at(loop_.now() + kDrainStuck, [this] {
     if (draining_ && host_ && host_->unsent_bytes() > 0)
       host_->close("bytes stuck on the way to a draining node");
   });
@@ -151,7 +151,7 @@
     host_.reset();
     owner_.link_changed(node_, "node.closed", draining_ ? "drained" : "idle");
   }
-  idle_ = loop_.at(now + options_.idle_close / 4, [this] { check_idle(); });
+  idle_ = loop_.run_at(now + options_.idle_close / 4, [this] { check_idle(); });
 }
 
 }  // namespace heronworks::gateway
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -80,7 +80,7 @@
   void disconnected(const std::string&) override {
     host_.reset();
     leaving_ = false;
-    load_.loop_.at(load_.loop_.now() + kReconnect, [this, alive = alive_] {
+    load_.loop_.run_at(load_.loop_.now() + kReconnect, [this, alive = alive_] {
       if (*alive) connect();
     });
   }
@@ -127,26 +127,26 @@
     }
   }
   next_at_ = start_;
-  loop_.at(start_, [this] { arrive(); });
-  loop_.at(start_ + 1, [this] { second(); });
+  loop_.run_at(start_, [this] { arrive(); });
+  loop_.run_at(start_ + 1, [this] { second(); });
   beat();
   for (const Act& a : day.acts) {
-    if (a.trouble == Trouble::kLeadMoves) loop_.at(start_ + a.from, [this] { lead_moves(); });
+    if (a.trouble == Trouble::kLeadMoves) loop_.run_at(start_ + a.from, [this] { lead_moves(); });
     if (a.trouble == Trouble::kClientLeaves) {
-      loop_.at(start_ + a.from, [this, via = a.target] {
+      loop_.run_at(start_ + a.from, [this, via = a.target] {
         for (auto& c : clients_) {
           if (c->via() == via) return c->leave();
         }
       });
     }
   }
-  loop_.at(start_ + day.seconds + kStopAfter, [this] { finish(); });
+  loop_.run_at(start_ + day.seconds + kStopAfter, [this] { finish(); });
 }
 
 Load::~Load() = default;
 
 void Load::beat() {
-  loop_.at(loop_.now() + kBeat, [this] { beat(); });
+  loop_.run_at(loop_.now() + kBeat, [this] { beat(); });
 }
 
 double Load::draw(double from, double to) {
@@ -258,10 +258,10 @@
     t.sqe.set_idempotency_key(t.label);
     if (t.in == 0) t.data = pattern(t.label, blocks, day_.block_bytes);
     t.first_at = now;
-    t.until = now + day_.settings.profiles[static_cast<std::size_t>(t.profile)].cut_off;
+    t.until = now + day_.settings.profiles[static_cast<std::size_t>(t.profile)].deadline;
     launch(t);
   }
-  loop_.at(next_at_, [this] { arrive(); });
+  loop_.run_at(next_at_, [this] { arrive(); });
 }
 
 Event Load::event(const Transaction& t, Kind kind, double at) const {
@@ -314,7 +314,7 @@
   if (s.ok()) {
     e.outcome = "honoured";
     ++second_counts_.honoured;
-    if (c.arrived_at - t.first_at <= profile.contract) ++second_counts_.in_time;
+    if (c.arrived_at - t.first_at <= profile.target_latency) ++second_counts_.in_time;
     if (t.sqe.opcode == nvme::opcode::kZoneAppend) {
       e.lba = static_cast<std::int64_t>(c.cqe.result());
       auto& objects = objects_[static_cast<std::size_t>(t.volume)];
@@ -333,7 +333,7 @@
   } else if (s == nvme::status::kInternalPathError) {
     e.outcome = "given_up";
     ++second_counts_.given_up;
-    again = profile.repeat == Repeat::kRedoable;
+    again = profile.idempotency == Idempotency::kIdempotent;
   } else {
     e.outcome = "error";
     e.text = s.text();
@@ -344,7 +344,7 @@
   if (again && t.attempt < day_.retries && loop_.now() + wait + 0.05 < t.until) {
     ++t.attempt;
     ++retrying_;
-    loop_.at(loop_.now() + wait, [this, t] {
+    loop_.run_at(loop_.now() + wait, [this, t] {
       --retrying_;
       launch(t);
       check_finished();
@@ -358,13 +358,13 @@
 void Load::again_elsewhere(Transaction t) {
   const auto& profile = day_.settings.profiles[static_cast<std::size_t>(t.profile)];
   const auto& hosts = volumes_[static_cast<std::size_t>(t.volume)].schedulers;
-  if (!day_.retry_lost || profile.repeat != Repeat::kRedoable || hosts.size() < 2 ||
+  if (!day_.retry_lost || profile.idempotency != Idempotency::kIdempotent || hosts.size() < 2 ||
       t.attempt >= day_.retries || loop_.now() + day_.backoff + 0.05 >= t.until)
     return;
   t.via = hosts[0] == t.via ? hosts[1] : hosts[0];
   ++t.attempt;
   ++retrying_;
-  loop_.at(loop_.now() + day_.backoff, [this, t] {
+  loop_.run_at(loop_.now() + day_.backoff, [this, t] {
     --retrying_;
     launch(t);
     check_finished();
@@ -395,7 +395,7 @@
       "%s\n",
       t, c.sent, c.honoured, c.in_time, c.turned_back, c.given_up, c.errors, c.lost, acting.c_str());
   std::fflush(stdout);
-  loop_.at(start_ + std::floor(t + 0.5) + 1, [this] { second(); });
+  loop_.run_at(start_ + std::floor(t + 0.5) + 1, [this] { second(); });
 }
 
 }  // namespace heronworks::lab
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -75,8 +75,8 @@
       for (std::size_t i = 0; i < lives.size(); ++i) {
         const int life = static_cast<int>(i);
         if (i == 0) start_node(n, life);
-        else loop_.at(start_ + lives[i].from, [this, n, life] { start_node(n, life); });
-        if (lives[i].to < 1e8) loop_.at(start_ + lives[i].to, [this, n] { end(node_[n]); });
+        else loop_.run_at(start_ + lives[i].from, [this, n, life] { start_node(n, life); });
+        if (lives[i].to < 1e8) loop_.run_at(start_ + lives[i].to, [this, n] { end(node_[n]); });
       }
     }
     std::string ports;
@@ -94,21 +94,21 @@
     }
     for (const Act& a : day_.acts) {
       if (a.trouble == Trouble::kSchedulerKilled) {
-        loop_.at(start_ + a.from, [this, s = a.target] {
+        loop_.run_at(start_ + a.from, [this, s = a.target] {
           say(Kind::kKilled, s);
           end(scheduler_[s]);
         });
-        loop_.at(start_ + a.to, [this, s = a.target] { start_scheduler(s); });
+        loop_.run_at(start_ + a.to, [this, s = a.target] { start_scheduler(s); });
       } else if (a.trouble == Trouble::kDiskFull) {
         // No file of that process may grow: to it, that is a full disk.
-        loop_.at(start_ + a.from, [this, s = a.target] { let_files_grow(s, false); });
-        loop_.at(start_ + a.to, [this, s = a.target] { let_files_grow(s, true); });
+        loop_.run_at(start_ + a.from, [this, s = a.target] { let_files_grow(s, false); });
+        loop_.run_at(start_ + a.to, [this, s = a.target] { let_files_grow(s, true); });
       } else if (a.trouble == Trouble::kSchedulerStopped) {
-        loop_.at(start_ + a.from, [this, s = a.target] {
+        loop_.run_at(start_ + a.from, [this, s = a.target] {
           say(Kind::kStopped, s);
           if (scheduler_[s] > 0) ::kill(scheduler_[s], SIGSTOP);
         });
-        loop_.at(start_ + a.to, [this, s = a.target] {
+        loop_.run_at(start_ + a.to, [this, s = a.target] {
           if (scheduler_[s] > 0) ::kill(scheduler_[s], SIGCONT);
           say(Kind::kContinued, s);
         });
@@ -117,7 +117,7 @@
     load_ =
         start("load", {options_.self, "load", day_.file, "--seed", std::to_string(day_.seed), "--start",
                        std::to_string(start_), "--schedulers", doors, "--record", folder_ + "/load.record"});
-    loop_.at(start_ + day_.seconds + 30, [this] {
+    loop_.run_at(start_ + day_.seconds + 30, [this] {
       result_.faults.push_back("the day did not end");
       loop_.stop();
     });
@@ -222,7 +222,7 @@
     for (auto& [s, pid] : scheduler_) {
       if (pid > 0 && children_.contains(pid)) ::kill(pid, SIGTERM);
     }
-    loop_.at(loop_.now() + kDrainTime, [this] {
+    loop_.run_at(loop_.now() + kDrainTime, [this] {
       result_.faults.push_back("a scheduler did not end after SIGTERM");
       loop_.stop();
     });
@@ -253,29 +253,30 @@
   const Settings& s = day.settings;
   for (std::size_t i = 0; i < s.profiles.size(); ++i) {
     const Profile& p = s.profiles[i];
-    f.profiles.push_back({day.profile_names[i], p.contract, p.cut_off, p.benefit, day.late_parts[i],
-                          static_cast<int>(p.repeat), static_cast<int>(p.group), p.label_window, p.in_order});
+    f.profiles.push_back({day.profile_names[i], p.target_latency, p.deadline, p.benefit, day.late_parts[i],
+                          static_cast<int>(p.idempotency), static_cast<int>(p.dedup_scope), p.dedup_window,
+                          p.ordered_by_key});
   }
   for (std::size_t i = 0; i < s.plans.size(); ++i) {
     const Plan& p = s.plans[i];
-    f.plans.push_back({day.plan_names[i], p.usual, p.reservation, p.limit, p.burst, p.benefit_factor});
+    f.plans.push_back({day.plan_names[i], p.usual_rate, p.reservation, p.limit, p.burst, p.benefit_factor});
   }
   f.zones = day.zones;
   f.key_blocks = static_cast<int>(day.key_blocks);
   f.answer_slack = day.answer_slack;
   f.drain_grace = day.drain_grace;
-  f.largest_units = s.largest_units;
-  f.mean_units = s.mean_units;
-  f.share_part = s.share_part;
-  f.turn_gap = s.turn_gap;
-  f.has_budget = s.has_budget;
-  f.budget_free = s.budget_free;
-  f.budget_share = s.budget_share;
-  f.budget_window = s.budget_window;
-  f.has_cold = s.has_cold_rule;
-  f.fall_time = s.fall_time;
-  f.tip_multiple = s.tip_multiple;
-  f.safe_cost = s.cold_units * day.unit_time * 1.3;
+  f.largest_units = s.max_transaction_units;
+  f.mean_units = s.mean_transaction_units;
+  f.share_part = s.share_benefit_factor;
+  f.turn_gap = s.key_quiet_time;
+  f.has_budget = s.has_retry_budget;
+  f.budget_free = s.retry_budget_base;
+  f.budget_share = s.retry_budget_ratio;
+  f.budget_window = s.retry_budget_window;
+  f.has_cold = s.has_slow_start;
+  f.fall_time = s.overload_window;
+  f.tip_multiple = s.overload_multiple;
+  f.safe_cost = s.safe_start_units * day.unit_time * 1.3;
   return f;
 }
 
--- a/src/nvme/host.cpp
+++ b/src/nvme/host.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 // A queue pair: its connection and the commands outstanding on it.
-class HostQueue final : public StreamOwner {
+class HostQueue final : public StreamHandler {
  public:
   HostQueue(Loop& loop, Host& host, std::uint16_t queue_id, std::uint16_t queue_size)
       : loop_(loop),
@@ -37,7 +37,7 @@
       return;
     }
     stream_ = std::make_unique<Stream>(loop, std::move(fd), *this, true);
-    if (host.options_.kernel_timestamps) stream_->mark_arrivals();
+    if (host.options_.kernel_timestamps) stream_->enable_receive_timestamps();
   }
 
   // A queue of n entries holds n - 1 commands (Base 3.3.1.4).
@@ -65,10 +65,10 @@
     sqe.sgl_length = static_cast<std::uint32_t>(write_length > 0 ? write_length : read_length);
     CapsuleCmd capsule{{}, sqe};
     capsule.header.type = static_cast<std::uint8_t>(PduType::kCapsuleCmd);
-    slot.stream_offset = stream_ ? stream_->queued() : 0;
+    slot.stream_offset = stream_ ? stream_->total_queued() : 0;
     if (!stream_) return;
-    append_pdu(stream_->out(), bytes_of(capsule), in_capsule ? ByteView(*slot.write_data) : ByteView{},
-               digests_);
+    append_pdu(stream_->write_buffer(), bytes_of(capsule),
+               in_capsule ? ByteView(*slot.write_data) : ByteView{}, digests_);
     stream_->flush();
   }
 
@@ -85,7 +85,7 @@
 
   // Closes the connection and completes all outstanding commands without a completion queue entry.
   void drop_commands() {
-    const std::uint64_t written = stream_ ? stream_->written() : 0;
+    const std::uint64_t written = stream_ ? stream_->total_written() : 0;
     if (stream_) stream_->close();
     for (std::size_t i = 0; i < slots_.size(); ++i) {
       Slot& slot = slots_[i];
@@ -99,7 +99,7 @@
     dropped_ = true;
   }
 
-  void connected() override {
+  void on_connected() override {
     InitConnection ic_req;
     ic_req.header.type = static_cast<std::uint8_t>(PduType::kIcReq);
     ic_req.dgst = static_cast<std::uint8_t>((host_.options_.digests.header ? kDgstHeader : 0) |
@@ -109,10 +109,11 @@
     stream_->send(out);
   }
 
-  std::size_t received(ByteView bytes) override {
+  std::size_t on_received(ByteView bytes) override {
     std::size_t consumed = 0;
     // Bytes left unread in the socket by the previous read may have arrived together with those read then.
-    if (!std::exchange(data_unread_, !stream_->drained())) earliest_arrival_ = loop_.earliest_arrival();
+    if (!std::exchange(data_unread_, !stream_->receive_buffer_drained()))
+      earliest_arrival_ = loop_.earliest_arrival();
     const auto alive = host_.alive_;
     while (true) {
       std::size_t pdu_size = 0;
@@ -128,10 +129,10 @@
     }
   }
 
-  void sent() override {
+  void on_written() override {
     if (stream_->unsent() == 0 && host_.ready_) host_.owner_.output_drained();
   }
-  void lost(const std::string& reason) override { host_.disconnect(reason); }
+  void on_closed(const std::string& reason) override { host_.disconnect(reason); }
 
  private:
   // An entry of the queue. Its commands take the identifiers index + generation * slots in turn.
@@ -151,7 +152,7 @@
   };
 
   void terminate_connection(const FatalError& error, ByteView pdu) {
-    append_term_req(stream_->out(), Role::kHost, error, pdu);
+    append_term_req(stream_->write_buffer(), Role::kHost, error, pdu);
     stream_->flush();
     host_.disconnect(error.text);
   }
@@ -244,7 +245,7 @@
     if (slot.data_digest_error || (data_missing && completion.status().ok()))
       completion.cqe.status = status::kDataTransferError.to_field();
     completion.data = std::move(slot.read_data);
-    completion.arrived_at = host_.options_.kernel_timestamps ? stream_->arrived_at() : loop_.now();
+    completion.arrived_at = host_.options_.kernel_timestamps ? stream_->last_arrival_time() : loop_.now();
     completion.earliest_arrival = std::min(completion.arrived_at, earliest_arrival_);
     const auto token = slot.token;
     const auto next_generation = static_cast<std::uint16_t>((slot.generation + 1) % generations_);
@@ -306,7 +307,7 @@
       h2c_data.ttag = r2t.ttag;
       h2c_data.offset = r2t.offset + sent;
       h2c_data.length = length;
-      append_pdu(stream_->out(), bytes_of(h2c_data),
+      append_pdu(stream_->write_buffer(), bytes_of(h2c_data),
                  ByteView(*slot->write_data).subspan(h2c_data.offset, length), digests_);
       sent += length;
     }
@@ -333,8 +334,9 @@
 
 Host::Host(Loop& loop, HostOptions options, HostOwner& owner)
     : loop_(loop), options_(std::move(options)), owner_(owner) {
-  connect_timer_ = loop_.at(loop_.now() + options_.connect_timeout,
-                            [this] { disconnect("association not established within the connect timeout"); });
+  connect_timer_ = loop_.run_at(loop_.now() + options_.connect_timeout, [this] {
+    disconnect("association not established within the connect timeout");
+  });
   admin_queue_ = std::make_unique<HostQueue>(loop_, *this, 0, kAdminQueueSize);
 }
 
@@ -472,7 +474,7 @@
   loop_.cancel(connect_timer_);
   if (options_.keep_alive_timeout > 0) {
     keep_alive_timer_ =
-        loop_.at(loop_.now() + options_.keep_alive_timeout / 3, [this] { send_keep_alive(); });
+        loop_.run_at(loop_.now() + options_.keep_alive_timeout / 3, [this] { send_keep_alive(); });
   }
   owner_.ready();
 }
@@ -484,7 +486,7 @@
   Sqe sqe;
   sqe.opcode = opcode::kKeepAlive;
   submit_admin(kKeepAliveToken, sqe, nullptr, 0);
-  keep_alive_timer_ = loop_.at(loop_.now() + options_.keep_alive_timeout, [this] { send_keep_alive(); });
+  keep_alive_timer_ = loop_.run_at(loop_.now() + options_.keep_alive_timeout, [this] { send_keep_alive(); });
 }
 
 }  // namespace heronworks::nvme
--- a/src/nvme/host.h
+++ b/src/nvme/host.h
@@ -18,7 +18,7 @@
   Digests digests;
   double connect_timeout = 1.0;     // s, from connect() until ready()
   double keep_alive_timeout = 5.0;  // s; 0: no keep alive
-  bool kernel_timestamps = false;   // see Stream::arrived_at
+  bool kernel_timestamps = false;   // see Stream::last_arrival_time
 };
 
 // The result of a command.
@@ -100,8 +100,8 @@
   std::uint16_t cntlid_ = 0xffff;
   std::uint32_t in_capsule_data_size_ = 0;  // bytes, on the I/O queue; from IOCCSZ
   std::uint32_t max_transfer_size_ = 0;
-  Loop::Timer connect_timer_ = 0;
-  Loop::Timer keep_alive_timer_ = 0;
+  Loop::TimerId connect_timer_ = 0;
+  Loop::TimerId keep_alive_timer_ = 0;
   bool keep_alive_outstanding_ = false;
   bool data_requested_after_cancel_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/nvme/target.cpp
+++ b/src/nvme/target.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 // A connection: one admin or I/O queue of an association.
-class TargetConnection final : public StreamOwner {
+class TargetConnection final : public StreamHandler {
  public:
   TargetConnection(Target& target, ConnectionId id, Fd fd)
       : target_(target),
@@ -29,13 +29,14 @@
         peer_(peer_address(fd.get())),
         parser_(Role::kController, kMaxH2cData + target.options_.in_capsule_data_size + kMaxPduHeaders),
         stream_(target.loop_, std::move(fd), *this) {
-    if (target.options_.arrival_source == ArrivalSource::kKernelTimestamp) stream_.mark_arrivals();
-    watchdog_ =
-        target.loop_.at(target.loop_.now() + target.options_.connect_timeout, [this] { check_timeout(); });
+    if (target.options_.arrival_source == ArrivalSource::kKernelTimestamp)
+      stream_.enable_receive_timestamps();
+    watchdog_ = target.loop_.run_at(target.loop_.now() + target.options_.connect_timeout,
+                                    [this] { check_timeout(); });
   }
   ~TargetConnection() override { target_.loop_.cancel(watchdog_); }
 
-  std::size_t received(ByteView bytes) override {
+  std::size_t on_received(ByteView bytes) override {
     std::size_t consumed = 0;
     last_received_at_ = target_.loop_.now();
     // Bytes that were left unread have arrived no later than when they were first left.
@@ -57,13 +58,13 @@
       if (!handle_pdu(*pdu)) break;
       consumed += pdu_size;
     }
-    backlog_since_ = paused_ || !stream_.drained() ? arrived_at_ : -1;
+    backlog_since_ = paused_ || !stream_.receive_buffer_drained() ? arrived_at_ : -1;
     return consumed;
   }
 
-  void sent() override { resume_if_below_limit(); }
+  void on_written() override { resume_if_below_limit(); }
 
-  void lost(const std::string&) override { close(); }
+  void on_closed(const std::string&) override { close(); }
 
   void complete(std::uint16_t cid, Status status, std::uint64_t result, ByteView data) {
     const auto found = outstanding_.find(cid);
@@ -78,7 +79,7 @@
       c2h_data.header.flags = kFlagLastPdu;
       c2h_data.cid = cid;
       c2h_data.length = static_cast<std::uint32_t>(data.size());
-      append_pdu(stream_.out(), bytes_of(c2h_data), data, digests_);
+      append_pdu(stream_.write_buffer(), bytes_of(c2h_data), data, digests_);
     }
     CapsuleResp response;
     response.header.type = static_cast<std::uint8_t>(PduType::kCapsuleResp);
@@ -87,7 +88,7 @@
     response.cqe.sq_head = ++sq_head_;
     response.cqe.cid = cid;
     response.cqe.status = status.to_field();
-    append_pdu(stream_.out(), bytes_of(response), {}, digests_);
+    append_pdu(stream_.write_buffer(), bytes_of(response), {}, digests_);
     stream_.flush();
     send_r2ts();
     resume_if_below_limit();
@@ -134,7 +135,7 @@
   double arrival_time() const {
     switch (target_.options_.arrival_source) {
       case ArrivalSource::kKernelTimestamp:
-        return stream_.arrived_at();
+        return stream_.last_arrival_time();
       case ArrivalSource::kEarliestPossible:
         return target_.loop_.earliest_arrival();
       default:
@@ -162,12 +163,12 @@
     const double timeout = connected_ ? keep_alive_timeout_ : target_.options_.connect_timeout;
     if (connected_ && keep_alive_timeout_ <= 0) return;
     if (!paused_ && now - last_received_at_ >= timeout) return close();
-    watchdog_ = target_.loop_.at(std::max(last_received_at_ + timeout, now + kMinTimeoutCheckInterval),
-                                 [this] { check_timeout(); });
+    watchdog_ = target_.loop_.run_at(std::max(last_received_at_ + timeout, now + kMinTimeoutCheckInterval),
+                                     [this] { check_timeout(); });
   }
 
   void terminate_connection(const FatalError& error, ByteView pdu) {
-    append_term_req(stream_.out(), Role::kController, error, pdu);
+    append_term_req(stream_.write_buffer(), Role::kController, error, pdu);
     stream_.flush();
     close();
   }
@@ -197,7 +198,7 @@
       ic_resp.header.type = static_cast<std::uint8_t>(PduType::kIcResp);
       ic_resp.dgst = static_cast<std::uint8_t>(ic_req.dgst & (kDgstHeader | kDgstData));
       ic_resp.maxr2t_or_maxh2cdata = kMaxH2cData;
-      append_pdu(stream_.out(), bytes_of(ic_resp), {}, {});
+      append_pdu(stream_.write_buffer(), bytes_of(ic_resp), {}, {});
       stream_.flush();
       parser_.set_digests(digests_);
       initialized_ = true;
@@ -226,7 +227,7 @@
       response.cqe.cid = sqe.cid;
       response.cqe.sq_head = ++sq_head_;
       response.cqe.status = status::kCommandIdConflict.to_field();
-      append_pdu(stream_.out(), bytes_of(response), {}, digests_);
+      append_pdu(stream_.write_buffer(), bytes_of(response), {}, digests_);
       stream_.flush();
       return true;
     }
@@ -297,7 +298,7 @@
       r2t.cid = cid;
       r2t.ttag = cid;
       r2t.length = command.write_length;
-      append_pdu(stream_.out(), bytes_of(r2t), {}, digests_);
+      append_pdu(stream_.write_buffer(), bytes_of(r2t), {}, digests_);
       stream_.flush();
     }
   }
@@ -407,7 +408,8 @@
     connected_ = true;
     target_.loop_.cancel(watchdog_);
     if (keep_alive_timeout_ > 0) {
-      watchdog_ = target_.loop_.at(target_.loop_.now() + keep_alive_timeout_, [this] { check_timeout(); });
+      watchdog_ =
+          target_.loop_.run_at(target_.loop_.now() + keep_alive_timeout_, [this] { check_timeout(); });
     }
     target_.backend_.connection_established(id_, get_text(connect_data.hostnqn), admin_, peer_);
     complete(cid, status::kOk, cntlid_, {});
@@ -495,7 +497,7 @@
   double last_received_at_ = target_.loop_.now();
   double arrived_at_ = 0;      // s; arrival time of the bytes being processed
   double backlog_since_ = -1;  // s; arrival time of the oldest bytes left unread, negative if none
-  Loop::Timer watchdog_ = 0;
+  Loop::TimerId watchdog_ = 0;
   std::uint16_t cntlid_ = 0;
   std::uint32_t max_outstanding_ = 1;  // commands of the I/O queue
   std::uint16_t sq_head_ = 0;
--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -33,23 +33,23 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace heronworks::http;
   if (size < 1) return 0;
-  const Kind kind = (data[0] & 1) != 0 ? Kind::kRequest : Kind::kAnswer;
-  const Bounds bounds{256, 64, 8};
+  const MessageKind kind = (data[0] & 1) != 0 ? MessageKind::kRequest : MessageKind::kResponse;
+  const MessageLimits limits{256, 64, 8};
   const std::span<const std::uint8_t> input(data + 1, size - 1);
-  Reader at_once(kind, bounds);
+  Reader at_once(kind, limits);
   const auto at_once_used = at_once.put(input);
   if (at_once_used > input.size()) __builtin_trap();
-  Reader bytewise(kind, bounds);
+  Reader bytewise(kind, limits);
   std::size_t bytewise_used = 0;
-  for (std::size_t end = 1; end <= input.size() && !bytewise.done() && bytewise.fault() == Fault::kNone;
+  for (std::size_t end = 1; end <= input.size() && !bytewise.done() && bytewise.error() == ParseError::kNone;
        ++end) {
     bytewise_used += bytewise.put(input.subspan(bytewise_used, end - bytewise_used));
   }
   if (at_once.done() != bytewise.done() || (at_once.done() && at_once_used != bytewise_used))
     __builtin_trap();
-  if ((at_once.fault() == Fault::kNone) != (bytewise.fault() == Fault::kNone)) __builtin_trap();
+  if ((at_once.error() == ParseError::kNone) != (bytewise.error() == ParseError::kNone)) __builtin_trap();
   if (at_once.done() && at_once.message().body != bytewise.message().body) __builtin_trap();
-  if (at_once.message().body.size() > bounds.body) __builtin_trap();
+  if (at_once.message().body.size() > limits.body_bytes) __builtin_trap();
   return 0;
 }
 #else
--- a/tests/nvme/host_test.cpp
+++ b/tests/nvme/host_test.cpp
@@ -26,12 +26,12 @@
       connections.push_back(std::make_unique<Connection>(*this, std::move(accepted)));
     });
   }
-  struct Connection final : StreamOwner {
+  struct Connection final : StreamHandler {
     Connection(ScriptedController& scripted, Fd fd)
         : controller(scripted),
           parser(Role::kController, kMaxPduSize),
           stream(scripted.loop_, std::move(fd), *this) {}
-    std::size_t received(ByteView bytes) override {
+    std::size_t on_received(ByteView bytes) override {
       std::size_t consumed = 0;
       while (true) {
         std::size_t pdu_size = 0;
@@ -42,10 +42,10 @@
         consumed += pdu_size;
       }
     }
-    void lost(const std::string&) override { connection_lost = true; }
+    void on_closed(const std::string&) override { connection_lost = true; }
     void send_pdu(PduType type, auto pdu, ByteView data = {}) {
       pdu.header.type = static_cast<std::uint8_t>(type);
-      append_pdu(stream.out(), bytes_of(pdu), data, {});
+      append_pdu(stream.write_buffer(), bytes_of(pdu), data, {});
       stream.flush();
     }
     void send_completion(std::uint16_t cid, Status status = status::kOk, std::uint32_t dw0 = 0) {
@@ -151,12 +151,12 @@
   }
   bool wait_until(const std::function<bool()>& done) {
     const double end = clock.now() + kWaitTimeout;
-    while (!done() && clock.now() < end) loop.turn(0.01);
+    while (!done() && clock.now() < end) loop.run_once(0.01);
     return done();
   }
   void run_for(double seconds) {
     const double end = clock.now() + seconds;
-    while (clock.now() < end) loop.turn(0.005);
+    while (clock.now() < end) loop.run_once(0.005);
   }
   // Sends a read or write of `blocks` blocks with a timeout in seconds. Returns the identifier of the command
   // that the controller received.
@@ -203,7 +203,7 @@
     fixture.controller.io()->send_r2t(next, 0, kBlockSize);
     fixture.controller.io()->send_completion(next);
     REQUIRE(fixture.wait_ended(i + 1));
-    CHECK(fixture.recorder.outcomes[i + 1] == Outcome::kHonoured);
+    CHECK(fixture.recorder.outcomes[i + 1] == Outcome::kSucceeded);
   }
   CHECK(fixture.recorder.link_events.find("lost") == std::string::npos);
   CHECK(fixture.link->out() == 0);
@@ -248,7 +248,7 @@
   fixture.controller.io()->send_data(cid, kBlockSize, 0, 0);
   fixture.controller.io()->send_data(cid, kBlockSize, kBlockSize, kFlagLastPdu | kFlagSuccess);
   REQUIRE(fixture.wait_ended(2));
-  CHECK(fixture.recorder.outcomes[2] == Outcome::kHonoured);
+  CHECK(fixture.recorder.outcomes[2] == Outcome::kSucceeded);
   cid = fixture.dispatch(3, true, 2);
   fixture.controller.io()->send_r2t(cid, 0, kBlockSize);
   fixture.controller.io()->send_completion(cid);
@@ -260,7 +260,7 @@
   REQUIRE(fixture.wait_until([&] { return fixture.controller.io()->h2c_data_received == 3 * kBlockSize; }));
   fixture.controller.io()->send_completion(cid);
   REQUIRE(fixture.wait_ended(4));
-  CHECK(fixture.recorder.outcomes[4] == Outcome::kHonoured);
+  CHECK(fixture.recorder.outcomes[4] == Outcome::kSucceeded);
   CHECK(fixture.recorder.link_events.find("lost") == std::string::npos);
 }
 
@@ -289,7 +289,7 @@
   first->send_data(other, kBlockSize);
   first->send_completion(other);
   REQUIRE(fixture.wait_ended(2));
-  CHECK(fixture.recorder.outcomes[2] == Outcome::kHonoured);
+  CHECK(fixture.recorder.outcomes[2] == Outcome::kSucceeded);
   REQUIRE(fixture.wait_until([&] { return first->connection_lost; }));
   // The next dispatch uses a new connection, even if it is sent before that is established.
   gateway::Dispatch dispatch;
@@ -303,7 +303,7 @@
   fixture.controller.io()->send_data(fixture.controller.io()->io_commands[0].cid, kBlockSize);
   fixture.controller.io()->send_completion(fixture.controller.io()->io_commands[0].cid);
   REQUIRE(fixture.wait_ended(3));
-  CHECK(fixture.recorder.outcomes[3] == Outcome::kHonoured);
+  CHECK(fixture.recorder.outcomes[3] == Outcome::kSucceeded);
   CHECK(fixture.link->out() == 0);
   CHECK(fixture.link->waiting() == 0);
 }
@@ -323,10 +323,10 @@
   options.host.keep_alive_timeout = 0;
   gateway::NodeLink link(loop, 0, options, recorder);
   const auto run_pending = [&] {
-    for (int i = 0; i < 4; ++i) loop.turn(0);
+    for (int i = 0; i < 4; ++i) loop.run_once(0);
   };
   const auto wait_until = [&](const std::function<bool()>& done) {
-    for (int i = 0; i < 10000 && !done(); ++i) loop.turn(0.001);
+    for (int i = 0; i < 10000 && !done(); ++i) loop.run_once(0.001);
     return done();
   };
   constexpr double kDispatchTimeout = 1;  // s
@@ -371,7 +371,7 @@
             break;
           case kReadCompletion:
             if (!lost) connection.send_completion(read_cid);
-            if (!lost) expect(kRead, data_sent ? Outcome::kHonoured : Outcome::kError);
+            if (!lost) expect(kRead, data_sent ? Outcome::kSucceeded : Outcome::kError);
             break;
           case kR2t:
             if (!lost) connection.send_r2t(write_cid, 0, 2 * kBlockSize);
@@ -383,7 +383,7 @@
             break;
           case kWriteCompletion:
             if (!lost) connection.send_completion(write_cid);
-            if (!lost) expect(kWrite, r2t_sent ? Outcome::kHonoured : Outcome::kError);
+            if (!lost) expect(kWrite, r2t_sent ? Outcome::kSucceeded : Outcome::kError);
             write_completed = true;
             break;
           case kTimeout:
@@ -419,7 +419,7 @@
       std::erase_if(controller.connections, [](auto& c) { return c->connection_lost; });
     } while (std::next_permutation(order.begin(), order.end()));
   }
-  MESSAGE(orderings, " orderings; honoured ", outcome_counts[Outcome::kHonoured], ", errors ",
+  MESSAGE(orderings, " orderings; honoured ", outcome_counts[Outcome::kSucceeded], ", errors ",
           outcome_counts[Outcome::kError], ", timed out ", outcome_counts[Outcome::kTimedOut], ", reset ",
           outcome_counts[Outcome::kReset]);
   CHECK(orderings == 2 * 1260);
@@ -432,7 +432,7 @@
   const MonotonicClock clock;
   Loop loop(clock);
   ScriptedController discovery(loop);
-  std::vector<gateway::ListedNode> nodes{{{"127.0.0.1", 9}, 0, 0, Listing::kReady, 0}};
+  std::vector<gateway::ListedNode> nodes{{{"127.0.0.1", 9}, 0, 0, NodeState::kReady, 0}};
   bool refuse_event_requests = true;
   discovery.handle_admin = [&](ScriptedController::Connection& connection, const Sqe& sqe) {
     if (sqe.opcode == opcode::kAsyncEventRequest) {
@@ -466,7 +466,7 @@
   gateway::ListWatch watch(loop, options, recorder);
   const auto wait_until = [&](const std::function<bool()>& done) {
     const double end = clock.now() + kWaitTimeout;
-    while (!done() && clock.now() < end) loop.turn(0.01);
+    while (!done() && clock.now() < end) loop.run_once(0.01);
     return done();
   };
   watch.watch();
