--- a/bench/wire.cpp
+++ b/bench/wire.cpp
@@ -182,15 +182,15 @@
 };
 
 // Keeps `depth` reads outstanding for kRoundSeconds, then stops the loop.
-class Reader final : public nvme::HostOwner {
+class Reader final : public nvme::HostHandler {
  public:
   Reader(Loop& loop, const nvme::HostOptions& options, int depth)
       : loop_(loop), depth_(depth), host_(loop, options, *this) {}
-  void ready() override {
+  void on_ready() override {
     started_at_ = loop_.now();
     for (int i = 0; i < depth_; ++i) submit_read();
   }
-  void completed(std::uint64_t token, nvme::Completion&& completion) override {
+  void on_completed(std::uint64_t token, nvme::Completion&& completion) override {
     if (!completion.arrived || !completion.status().ok()) ++measurement.failed;
     const double now = loop_.now();
     measurement.latencies.push_back(now - submitted_at_[token % kMaxDepth]);
@@ -201,7 +201,7 @@
     }
     submit_read();
   }
-  void disconnected(const std::string& reason) override {
+  void on_disconnected(const std::string& reason) override {
     std::fprintf(stderr, "bench: connection lost: %s\n", reason.c_str());
     std::exit(1);
   }
@@ -252,12 +252,12 @@
   return resident_pages * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 1048576;
 }
 
-class IdleClient final : public nvme::HostOwner {
+class IdleClient final : public nvme::HostHandler {
  public:
   IdleClient(Loop& loop, const nvme::HostOptions& options) : host(loop, options, *this) {}
-  void ready() override {}
-  void completed(std::uint64_t, nvme::Completion&&) override {}
-  void disconnected(const std::string& reason) override {
+  void on_ready() override {}
+  void on_completed(std::uint64_t, nvme::Completion&&) override {}
+  void on_disconnected(const std::string& reason) override {
     std::fprintf(stderr, "bench: connection lost: %s\n", reason.c_str());
   }
   nvme::Host host;
--- a/src/gateway/list_watch.cpp
+++ b/src/gateway/list_watch.cpp
@@ -131,7 +131,7 @@
   }
 }
 
-void ListWatch::ready() {
+void ListWatch::on_ready() {
   wait_for_event();
   fetch();
 }
@@ -163,8 +163,8 @@
   host_->submit_admin(kPage, c, nullptr, (words + 1) * 4);
 }
 
-void ListWatch::completed(std::uint64_t token, nvme::Completion&& completion) {
-  if (!completion.arrived) return;  // `down` follows
+void ListWatch::on_completed(std::uint64_t token, nvme::Completion&& completion) {
+  if (!completion.arrived) return;  // `on_disconnected` follows
   if (token == kEvent) {
     event_out_ = false;
     // Danger: without an event request nothing tells of drains any more. Told as a watch that broke.
@@ -207,7 +207,7 @@
   if (again && host_ && host_->ready()) fetch();
 }
 
-void ListWatch::disconnected(const std::string& reason) {
+void ListWatch::on_disconnected(const std::string& reason) {
   loop_.cancel(timer_);
   fetching_ = event_out_ = again_ = false;
   host_.reset();
--- a/src/gateway/list_watch.h
+++ b/src/gateway/list_watch.h
@@ -33,16 +33,16 @@
   virtual void list_failed(const std::string& reason) = 0;
 };
 
-class ListWatch final : public nvme::HostOwner {
+class ListWatch final : public nvme::HostHandler {
  public:
   ListWatch(Loop& loop, nvme::HostOptions options, ListOwner& owner);
   // Connects if need be, fetches the list, and from then on again whenever it changes.
   // Answered by list_came or list_failed; a watch that breaks later is told as list_failed, too.
   void watch();
 
-  void ready() override;
-  void completed(std::uint64_t token, nvme::Completion&& completion) override;
-  void disconnected(const std::string& reason) override;
+  void on_ready() override;
+  void on_completed(std::uint64_t token, nvme::Completion&& completion) override;
+  void on_disconnected(const std::string& reason) override;
 
  private:
   void fetch();
--- a/src/gateway/node_link.cpp
+++ b/src/gateway/node_link.cpp
@@ -86,12 +86,12 @@
   }
 }
 
-void NodeLink::ready() {
+void NodeLink::on_ready() {
   owner_.link_changed(node_, "node.connected", "");
   pump();
 }
 
-void NodeLink::completed(std::uint64_t token, nvme::Completion&& completion) {
+void NodeLink::on_completed(std::uint64_t token, nvme::Completion&& completion) {
   if (auto node = sent_.extract(token)) {
     finish(std::move(node.mapped()), outcome_of(completion), std::move(completion));
   }
@@ -122,7 +122,7 @@
   }
 }
 
-void NodeLink::disconnected(const std::string& reason) {
+void NodeLink::on_disconnected(const std::string& reason) {
   owner_.link_changed(node_, "node.lost", reason);
   host_.reset();
   if (!std::exchange(renewing_, false)) return end_waiting(Outcome::kConnectFailed);
--- a/src/gateway/node_link.h
+++ b/src/gateway/node_link.h
@@ -30,7 +30,7 @@
   virtual void link_changed(int node, const char* event, const std::string& reason) = 0;
 };
 
-class NodeLink final : public nvme::HostOwner {
+class NodeLink final : public nvme::HostHandler {
  public:
   struct Options {
     nvme::HostOptions host;
@@ -51,10 +51,10 @@
   std::size_t waiting() const { return waiting_.size(); }
   std::size_t out() const { return sent_.size(); }
 
-  void ready() override;
-  void completed(std::uint64_t token, nvme::Completion&& completion) override;
-  void disconnected(const std::string& reason) override;
-  void output_drained() override { pump(); }
+  void on_ready() override;
+  void on_completed(std::uint64_t token, nvme::Completion&& completion) override;
+  void on_disconnected(const std::string& reason) override;
+  void on_output_drained() override { pump(); }
 
  private:
   struct Entry {
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -31,7 +31,7 @@
 }  // namespace
 
 // One connection to one scheduler.
-class Load::Client final : public nvme::HostOwner {
+class Load::Client final : public nvme::HostHandler {
  public:
   Client(Load& load, int number, int via, std::uint16_t port)
       : load_(load), number_(number), via_(via), port_(port) {
@@ -63,8 +63,8 @@
     if (host_) host_->close("the client left");
   }
 
-  void ready() override {}
-  void completed(std::uint64_t token, nvme::Completion&& c) override {
+  void on_ready() override {}
+  void on_completed(std::uint64_t token, nvme::Completion&& c) override {
     auto node = open_.extract(token);
     if (!node) return;
     --load_.open_;
@@ -77,7 +77,7 @@
     if (!leaving_) load_.again_elsewhere(node.mapped());
     load_.check_finished();
   }
-  void disconnected(const std::string&) override {
+  void on_disconnected(const std::string&) override {
     host_.reset();
     leaving_ = false;
     load_.loop_.run_at(load_.loop_.now() + kReconnect, [this, alive = alive_] {
--- a/src/nvme/host.cpp
+++ b/src/nvme/host.cpp
@@ -130,7 +130,7 @@
   }
 
   void on_written() override {
-    if (stream_->unsent() == 0 && host_.ready_) host_.owner_.output_drained();
+    if (stream_->unsent() == 0 && host_.ready_) host_.handler_.on_output_drained();
   }
   void on_closed(const std::string& reason) override { host_.disconnect(reason); }
 
@@ -332,8 +332,8 @@
   std::deque<std::uint16_t> free_slots_;  // indices, least recently used first
 };
 
-Host::Host(Loop& loop, HostOptions options, HostOwner& owner)
-    : loop_(loop), options_(std::move(options)), owner_(owner) {
+Host::Host(Loop& loop, HostOptions options, HostHandler& handler)
+    : loop_(loop), options_(std::move(options)), handler_(handler) {
   connect_timer_ = loop_.run_at(loop_.now() + options_.connect_timeout, [this] {
     disconnect("association not established within the connect timeout");
   });
@@ -378,7 +378,7 @@
     if (io_queue_) io_queue_->drop_commands();
     if (!*alive) return;
     admin_queue_->drop_commands();
-    if (*alive) owner_.disconnected(reason);
+    if (*alive) handler_.on_disconnected(reason);
   });
 }
 
@@ -388,7 +388,7 @@
   } else if (token == kKeepAliveToken) {
     keep_alive_outstanding_ = false;
   } else {
-    owner_.completed(token, std::move(completion));
+    handler_.on_completed(token, std::move(completion));
   }
 }
 
@@ -476,7 +476,7 @@
     keep_alive_timer_ =
         loop_.run_at(loop_.now() + options_.keep_alive_timeout / 3, [this] { send_keep_alive(); });
   }
-  owner_.ready();
+  handler_.on_ready();
 }
 
 // Sends a Keep Alive command every keep alive timeout. Disconnects if the previous one has not completed.
--- a/src/nvme/host.h
+++ b/src/nvme/host.h
@@ -16,7 +16,7 @@
   std::string hostnqn = "nqn.2014-08.org.nvmexpress:uuid:00000000-0000-0000-0000-000000000000";
   std::uint16_t io_queue_size = 128;  // entries; 0: admin queue only, as for a discovery controller
   Digests digests;
-  double connect_timeout = 1.0;     // s, from connect() until ready()
+  double connect_timeout = 1.0;     // s, from connect() until on_ready()
   double keep_alive_timeout = 5.0;  // s; 0: no keep alive
   bool kernel_timestamps = false;   // see Stream::last_arrival_time
 };
@@ -32,24 +32,25 @@
   Status status() const { return Status::from_field(cqe.status); }
 };
 
-class HostOwner {
+class HostHandler {
  public:
-  virtual ~HostOwner() = default;
-  virtual void ready() = 0;
-  // Called exactly once for each submitted command, also if the connection is lost (before `disconnected`).
-  virtual void completed(std::uint64_t token, Completion&& completion) = 0;
+  virtual ~HostHandler() = default;
+  virtual void on_ready() = 0;
+  // Called exactly once for each submitted command, also if the connection is lost (before
+  // `on_disconnected`).
+  virtual void on_completed(std::uint64_t token, Completion&& completion) = 0;
   // All bytes queued on the I/O queue were passed to the kernel.
-  virtual void output_drained() {}
+  virtual void on_output_drained() {}
   // The association failed to come up, or has ended. The Host may be destroyed in a deferred action.
-  virtual void disconnected(const std::string& reason) = 0;
+  virtual void on_disconnected(const std::string& reason) = 0;
 };
 
 class HostQueue;
 
 class Host {
  public:
-  // Starts to connect. Reports to `owner`, which must outlive the host.
-  Host(Loop& loop, HostOptions options, HostOwner& owner);
+  // Starts to connect. Reports to `handler`, which must outlive the host.
+  Host(Loop& loop, HostOptions options, HostHandler& handler);
   ~Host();
   Host(const Host&) = delete;
   Host& operator=(const Host&) = delete;
@@ -73,7 +74,7 @@
   bool data_requested_after_cancel() const { return data_requested_after_cancel_; }
 
   // Closes the connections. Later in this turn of the loop, outstanding commands complete with `arrived`
-  // false, and `disconnected` is called.
+  // false, and `on_disconnected` is called.
   void close(const std::string& reason);
   std::uint32_t max_transfer_size() const { return max_transfer_size_; }  // bytes, from MDTS
 
@@ -91,7 +92,7 @@
 
   Loop& loop_;
   HostOptions options_;
-  HostOwner& owner_;
+  HostHandler& handler_;
   std::unique_ptr<HostQueue> admin_queue_;
   std::unique_ptr<HostQueue> io_queue_;
   InitStep init_step_ = InitStep::kAdminConnect;
--- a/tests/gateway/rig.h
+++ b/tests/gateway/rig.h
@@ -81,7 +81,7 @@
   int asked = 0;
 };
 
-class ScriptClient final : public nvme::HostOwner {
+class ScriptClient final : public nvme::HostHandler {
  public:
   ScriptClient(Loop& loop, const Address& address, std::uint16_t depth = 128, nvme::Digests digests = {}) {
     nvme::HostOptions o;
@@ -93,12 +93,12 @@
     o.connect_timeout = 5;
     host = std::make_unique<nvme::Host>(loop, o, *this);
   }
-  void ready() override {}
-  void completed(std::uint64_t token, nvme::Completion&& c) override {
+  void on_ready() override {}
+  void on_completed(std::uint64_t token, nvme::Completion&& c) override {
     if (answers.contains(token)) twice = true;
     answers[token] = std::move(c);
   }
-  void disconnected(const std::string& r) override { reason = r; }
+  void on_disconnected(const std::string& r) override { reason = r; }
 
   void read(std::uint64_t token, std::uint64_t lba, std::uint32_t blocks = 1, double left = 0) {
     nvme::Sqe c;
--- a/tests/lab/node_test.cpp
+++ b/tests/lab/node_test.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-struct Client final : nvme::HostOwner {
-  void ready() override { up = true; }
-  void completed(std::uint64_t token, nvme::Completion&& c) override { answers[token] = c.status(); }
-  void disconnected(const std::string&) override {}
+struct Client final : nvme::HostHandler {
+  void on_ready() override { up = true; }
+  void on_completed(std::uint64_t token, nvme::Completion&& c) override { answers[token] = c.status(); }
+  void on_disconnected(const std::string&) override {}
   bool up = false;
   std::map<std::uint64_t, nvme::Status> answers;
 };
