--- a/src/gateway/scheduler.cpp
+++ b/src/gateway/scheduler.cpp
@@ -67,9 +67,10 @@
     o.folder = config.ledger.folder;
     o.book = {config.ledger.period, config.ledger.remembers, config.ledger.identities};
     // Room for the entries of all that may be open, twice, as the door closes at half.
-    o.writer.most_records = std::max<std::size_t>(65536, 4 * static_cast<std::size_t>(config.most_open));
-    o.writer.most_bytes = o.writer.most_records * 1024;
-    o.writer.group = config.ledger.group;
+    o.writer.max_pending_records =
+        std::max<std::size_t>(65536, 4 * static_cast<std::size_t>(config.most_open));
+    o.writer.max_pending_bytes = o.writer.max_pending_records * 1024;
+    o.writer.max_group_records = config.ledger.group;
     o.scheduler = static_cast<std::uint32_t>(config.settings.scheduler_index);
     o.new_ledger = own_label_ ^ static_cast<std::uint64_t>(::getpid()) << 32;
     keeper_ = std::make_unique<ledger::Keeper>(loop, files_, o, *this);
@@ -147,7 +148,8 @@
   std::string out;
   for (std::size_t i = 0; i < matcher_.rules().size(); ++i) {
     const expr::Rule& r = matcher_.rules().rule(static_cast<int>(i));
-    if (!r.turn_back.empty()) out += std::to_string(i + 1) + "\t" + r.name + "\t" + r.turn_back + "\n";
+    if (!r.reject_reason.empty())
+      out += std::to_string(i + 1) + "\t" + r.name + "\t" + r.reject_reason + "\n";
   }
   return out;
 }
@@ -200,7 +202,7 @@
     if (!rule.labels.empty() || matched->turn_back) {
       nlohmann::json fields{{"rule", rule.name}, {"volume", c.sqe.nsid}, {"label", c.sqe.idempotency_key()}};
       for (const auto& [name, value] : rule.labels) fields["labels"][name] = value;
-      if (matched->turn_back) fields["reason"] = rule.turn_back;
+      if (matched->turn_back) fields["reason"] = rule.reject_reason;
       log_.debug(loop_.now(), matched->turn_back ? "rule.turned_back" : "rule.marked", std::move(fields));
     }
     busy.crd = 3;
--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -55,24 +55,24 @@
 #else
 #include "expr/program.h"
 
-// Compiles the input as an expression and runs it within the cost that the compiler computed.
+// Compiles the input as an expression and runs it within the number of steps that the compiler computed.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace heronworks::expr;
-  std::vector<Fault> faults;
+  std::vector<Diagnostic> diagnostics;
   const auto program = compile(std::string_view(reinterpret_cast<const char*>(data), size), {}, Limits{},
-                               std::nullopt, faults);
+                               std::nullopt, diagnostics);
   if (!program) {
-    if (faults.empty()) __builtin_trap();
+    if (diagnostics.empty()) __builtin_trap();
     return 0;
   }
   Record record;
-  for (std::size_t i = 0; i < kFields; ++i) {
+  for (std::size_t i = 0; i < kFieldCount; ++i) {
     if (fields()[i].type == kString) record.values[i] = Value(std::string_view("text"));
   }
   Machine machine;
   Value value;
   machine.run(*program, record, value);
-  if (machine.spent() > program->cost) __builtin_trap();
+  if (machine.steps_used() > program->max_steps) __builtin_trap();
   return 0;
 }
 #endif
