--- a/src/drill/line.h
+++ b/src/drill/line.h
@@ -1,4 +1,4 @@
-// One line of the drill's wire: its message and its fields.
+// Parses one line of the simulator's protocol: a message name and "name=value" fields, separated by tabs.
 #pragma once
 
 #include <optional>
@@ -11,15 +11,16 @@
 
 namespace heronworks::drill {
 
-// Raised on input that cannot be understood; ends the adapter.
-struct BadInput : std::runtime_error {
+// Malformed input. Ends the adapter.
+struct ProtocolError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// One line: its message and its fields.
+// A parsed line. Refers to the text that it was parsed from.
 class Line final : public SettingsFields {
  public:
-  Line(std::string_view text, std::size_t number) : number_(number) {
+  // `line_number` is used in error messages.
+  Line(std::string_view text, std::size_t line_number) : line_number_(line_number) {
     while (true) {
       const auto tab = text.find('\t');
       parts_.push_back(text.substr(0, tab));
@@ -41,19 +42,24 @@
   }
 
   using SettingsFields::integer;
+  // Throws ProtocolError if the field is missing or not an integer.
   std::int64_t integer(std::string_view name) const {
     text(name);
     return integer(name, 0);
   }
 
+  // Throws ProtocolError with the line number, the message, the field and its value.
   [[noreturn]] void fail(std::string_view name) const override {
-    throw BadInput("line " + std::to_string(number_) + ": " + std::string(message()) + ": bad field '" +
-                   std::string(name) + "'");
+    const auto value = find(name);
+    const std::string problem =
+        value ? "invalid value '" + std::string(*value) + "' in field '" : std::string("missing field '");
+    throw ProtocolError("line " + std::to_string(line_number_) + ": " + std::string(message()) + ": " +
+                        problem + std::string(name) + "'");
   }
 
  private:
-  std::size_t number_;
-  std::vector<std::string_view> parts_;
+  std::size_t line_number_;
+  std::vector<std::string_view> parts_;  // the message name, then the fields
 };
 
 }  // namespace heronworks::drill
--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -1,4 +1,8 @@
-// The adapter: speaks the drill's wire on standard input and output for many instances of the module.
+// Runs the decision module under a simulator. Reads batches of events for any number of schedulers from
+// standard input, one message a line, and writes the schedulers' actions to standard output.
+//
+// A batch starts with SYNC, which sets the time, and ends with EOB; its actions end with EOR. Times on the
+// wire are in microseconds. A server of the protocol is a node, a handle names a transaction.
 #include <cstdio>
 #include <exception>
 #include <iostream>
@@ -16,275 +20,295 @@
 namespace heronworks::drill {
 namespace {
 
-constexpr double kMicro = 1e-6;
-constexpr double kMostShards = 1e6;  // tables go by shard
+constexpr double kSecondsPerMicrosecond = 1e-6;
+constexpr double kMaxShard = 1e6;  // bounds the tables that the decision module indexes by shard
 
-// Names become small numbers in the order in which they are first met.
-class Names {
+// Assigns consecutive indices to names, from 0.
+class NameIndex {
  public:
-  int index(std::string_view name) {
-    return static_cast<int>(numbers_.emplace(std::string(name), numbers_.size()).first->second);
+  int find_or_add(std::string_view name) {
+    return static_cast<int>(indices_.emplace(std::string(name), indices_.size()).first->second);
   }
-  std::optional<int> known(std::string_view name) const {
-    const auto found = numbers_.find(std::string(name));
-    if (found == numbers_.end()) return std::nullopt;
+  std::optional<int> find(std::string_view name) const {
+    const auto found = indices_.find(std::string(name));
+    if (found == indices_.end()) return std::nullopt;
     return static_cast<int>(found->second);
   }
 
  private:
-  std::unordered_map<std::string, std::size_t> numbers_;
+  std::unordered_map<std::string, std::size_t> indices_;
 };
 
-struct Listed {
-  std::string server;
+// A node of an endpoint list. `entry` lacks the node and zone indices, which each scheduler assigns itself.
+struct Endpoint {
+  std::string address;
   std::string zone;
   NodeEntry entry;
 };
+using EndpointList = std::vector<Endpoint>;
 
-Outcome outcome_of(const Line& line) {
+Outcome read_outcome(const Line& line) {
   const auto code = line.integer("result");
   if (code < 1 || code > 8) line.fail("result");
   return static_cast<Outcome>(code - 1);
 }
 
-// One scheduler: the module and the names that it must not see.
-class Instance final : public ControlActions {
+// One simulated scheduler: a Control, and the indices by which it knows the names of the protocol.
+class Scheduler final : public ControlActions {
  public:
-  Instance(const Line& line, std::string& out, double now) : out_(out), who_(line.integer("who")), now_(now) {
-    NamedSettings read = read_settings(line);
-    read.settings.seed = static_cast<std::uint64_t>(line.integer("rng-seed"));
-    for (const auto& name : read.profile_names) profiles_.index(name);
-    for (const auto& name : read.plan_names) plans_.index(name);
-    control_ = std::make_unique<Control>(std::move(read.settings), *this, now);
+  // Reads the settings from a PROVISION message. Appends the scheduler's actions to `output`.
+  Scheduler(const Line& line, std::string& output, double now)
+      : output_(output), scheduler_id_(line.integer("who")), now_(now) {
+    NamedSettings named = read_settings(line);
+    named.settings.seed = static_cast<std::uint64_t>(line.integer("rng-seed"));
+    for (const auto& name : named.profile_names) profiles_.find_or_add(name);
+    for (const auto& name : named.plan_names) plans_.find_or_add(name);
+    control_ = std::make_unique<Control>(std::move(named.settings), *this, now);
   }
 
-  void handle(const Line& line, const std::vector<std::vector<Listed>>& lists, double now) {
+  // Handles one event. Ignores messages that do not concern the decision module.
+  void handle(const Line& line, const std::vector<EndpointList>& endpoint_lists, double now) {
     now_ = now;
     const auto message = line.message();
-    if (message == "CALL") call(line);
-    else if (message == "RESPONSE") response(line);
-    else if (message == "MEMBERSHIP") membership(line, lists);
+    if (message == "CALL") handle_call(line);
+    else if (message == "RESPONSE") handle_response(line);
+    else if (message == "MEMBERSHIP") handle_membership(line, endpoint_lists);
     else if (message == "WAKEUP") control_->timer_fired(now);
     else if (message == "ABANDONED")
-      with_known(line, [&](int id) { control_->transaction_abandoned(now, id); });
+      with_open_transaction(line, [&](int id) { control_->transaction_abandoned(now, id); });
   }
 
   void dispatch(int transaction, int node, double timeout) override {
-    begin("HAND_OFF", transaction);
-    out_ += "\tserver=" + servers_[static_cast<std::size_t>(node)];
-    if (timeout > 0) out_ += "\ttry-for=" + micros(timeout);
-    out_ += '\n';
+    begin_action("HAND_OFF", transaction);
+    output_ += "\tserver=" + node_addresses_[static_cast<std::size_t>(node)];
+    if (timeout > 0) output_ += "\ttry-for=" + format_microseconds(timeout);
+    output_ += '\n';
   }
-  void reject(int transaction, double wait) override {
-    begin("TURN_AWAY", transaction);
-    if (wait > 0) out_ += "\tcool-down=" + micros(wait);
-    out_ += '\n';
+  void reject(int transaction, double retry_after) override {
+    begin_action("TURN_AWAY", transaction);
+    if (retry_after > 0) output_ += "\tcool-down=" + format_microseconds(retry_after);
+    output_ += '\n';
   }
   void expire(int transaction) override {
-    begin("SURRENDER", transaction);
-    out_ += '\n';
+    begin_action("SURRENDER", transaction);
+    output_ += '\n';
   }
   void release(int transaction) override {
     auto& handle = handles_[static_cast<std::size_t>(transaction)];
-    ids_.erase(handle);
+    open_ids_.erase(handle);
     handle.clear();
-    free_.push_back(transaction);
+    free_ids_.push_back(transaction);
+  }
+  void request_endpoint_list() override {
+    output_ += "TAIL\twho=" + std::to_string(scheduler_id_) + "\tactive=1\n";
   }
-  void request_endpoint_list() override { out_ += "TAIL\twho=" + std::to_string(who_) + "\tactive=1\n"; }
   void wake_at(double time) override {
-    out_ += "TIMER\twho=" + std::to_string(who_) + "\tat=" + micros(time) + "\tcookie=0\n";
+    output_ +=
+        "TIMER\twho=" + std::to_string(scheduler_id_) + "\tat=" + format_microseconds(time) + "\tcookie=0\n";
   }
 
  private:
-  void begin(const char* action, int transaction) {
-    out_ += action;
-    out_ += "\twho=" + std::to_string(who_) + "\thandle=" + handles_[static_cast<std::size_t>(transaction)];
+  void begin_action(const char* action, int transaction) {
+    output_ += action;
+    output_ += "\twho=" + std::to_string(scheduler_id_) +
+               "\thandle=" + handles_[static_cast<std::size_t>(transaction)];
   }
 
-  static std::string micros(double seconds) {
-    return std::to_string(static_cast<std::int64_t>(seconds / kMicro + 0.5));
+  static std::string format_microseconds(double seconds) {
+    return std::to_string(static_cast<std::int64_t>(seconds / kSecondsPerMicrosecond + 0.5));
   }
 
-  template <typename Act>
-  void with_known(const Line& line, Act act) {
-    const auto found = ids_.find(std::string(line.text("handle")));
-    if (found != ids_.end()) act(found->second);
+  // Calls `callback` with the index of the line's transaction, unless it was released before.
+  template <typename Callback>
+  void with_open_transaction(const Line& line, Callback callback) {
+    const auto found = open_ids_.find(std::string(line.text("handle")));
+    if (found != open_ids_.end()) callback(found->second);
   }
 
-  int server(std::string_view name) {
-    const auto [at, fresh] = server_numbers_.emplace(std::string(name), static_cast<int>(servers_.size()));
-    if (fresh) servers_.emplace_back(name);
-    return at->second;
+  int node_index(std::string_view address) {
+    const auto [found, added] =
+        node_indices_.emplace(std::string(address), static_cast<int>(node_addresses_.size()));
+    if (added) node_addresses_.emplace_back(address);
+    return found->second;
   }
 
-  void call(const Line& line) {
-    Transaction t;
-    t.has_key = line.find("chunk").has_value();
-    if (t.has_key) t.key = static_cast<std::uint64_t>(line.integer("chunk"));
-    t.time_left = kMicro * line.number("left");
-    t.units = line.number("units", 1.0);
+  void handle_call(const Line& line) {
+    Transaction transaction;
+    transaction.has_key = line.find("chunk").has_value();
+    if (transaction.has_key) transaction.key = static_cast<std::uint64_t>(line.integer("chunk"));
+    transaction.time_left = kSecondsPerMicrosecond * line.number("left");
+    transaction.units = line.number("units", 1.0);
     const auto volume = line.integer("volume", -1);
-    t.volume = static_cast<int>(volumes_.emplace(volume, volumes_.size()).first->second);
-    const auto profile = profiles_.known(line.text("profile"));
+    transaction.volume =
+        static_cast<int>(volume_indices_.emplace(volume, volume_indices_.size()).first->second);
+    const auto profile = profiles_.find(line.text("profile"));
     if (!profile) line.fail("profile");
-    t.profile = *profile;
-    const auto plan = plans_.known(line.find("grade").value_or(""));
+    transaction.profile = *profile;
+    const auto plan = plans_.find(line.find("grade").value_or(""));
     if (!plan && line.find("grade")) line.fail("grade");
-    t.plan = plan.value_or(-1);
+    transaction.plan = plan.value_or(-1);
     const double shard = line.number("slot-no", -1.0);
-    if (shard < -1 || shard > kMostShards) line.fail("slot-no");
-    t.shard = static_cast<int>(shard);
-    t.volume_schedulers = static_cast<int>(line.number("set-size", 0.0));
+    if (shard < -1 || shard > kMaxShard) line.fail("slot-no");
+    transaction.shard = static_cast<int>(shard);
+    transaction.volume_schedulers = static_cast<int>(line.number("set-size", 0.0));
     const std::string handle(line.text("handle"));
     int id = 0;
-    if (free_.empty()) {
+    if (free_ids_.empty()) {
       id = static_cast<int>(handles_.size());
       handles_.push_back(handle);
     } else {
-      id = free_.back();
-      free_.pop_back();
+      id = free_ids_.back();
+      free_ids_.pop_back();
       handles_[static_cast<std::size_t>(id)] = handle;
     }
-    ids_[handle] = id;
-    control_->transaction_arrived(now_, id, t);
+    open_ids_[handle] = id;
+    control_->transaction_arrived(now_, id, transaction);
   }
 
-  void response(const Line& line) {
-    DispatchResult r;
-    r.dispatch_number = static_cast<int>(line.integer("trial", 0));
-    r.node = server(line.text("server"));
-    r.elapsed = kMicro * line.number("elapsed", 0.0);
-    r.outcome = outcome_of(line);
-    r.transaction_finished = line.flag("finished");
-    r.units_by_others = line.number("by-others", 0.0);
-    r.usage_reported = line.number("volume-use", 0.0) > 0;
-    with_known(line, [&](int id) { control_->dispatch_finished(now_, id, r); });
+  void handle_response(const Line& line) {
+    DispatchResult result;
+    result.dispatch_number = static_cast<int>(line.integer("trial", 0));
+    result.node = node_index(line.text("server"));
+    result.elapsed = kSecondsPerMicrosecond * line.number("elapsed", 0.0);
+    result.outcome = read_outcome(line);
+    result.transaction_finished = line.flag("finished");
+    result.units_by_others = line.number("by-others", 0.0);
+    result.usage_reported = line.number("volume-use", 0.0) > 0;
+    with_open_transaction(line, [&](int id) { control_->dispatch_finished(now_, id, result); });
   }
 
-  void membership(const Line& line, const std::vector<std::vector<Listed>>& lists) {
+  void handle_membership(const Line& line, const std::vector<EndpointList>& endpoint_lists) {
     const auto code = line.integer("scope");
     if (code < 0 || code > 3) line.fail("scope");
-    const auto scope = static_cast<UpdateKind>(code);
+    const auto kind = static_cast<UpdateKind>(code);
     std::vector<NodeEntry> entries;
-    if (scope != UpdateKind::kFailed) {
+    if (kind != UpdateKind::kFailed) {
       const auto list = line.integer("list");
-      if (list < 0 || list >= static_cast<std::int64_t>(lists.size())) line.fail("list");
-      for (const Listed& l : lists[static_cast<std::size_t>(list)]) {
-        entries.push_back(l.entry);
-        entries.back().node = server(l.server);
-        entries.back().zone = zones_.index(l.zone);
+      if (list < 0 || list >= static_cast<std::int64_t>(endpoint_lists.size())) line.fail("list");
+      for (const Endpoint& endpoint : endpoint_lists[static_cast<std::size_t>(list)]) {
+        entries.push_back(endpoint.entry);
+        entries.back().node = node_index(endpoint.address);
+        entries.back().zone = zones_.find_or_add(endpoint.zone);
       }
     }
-    control_->update_nodes(now_, scope, entries);
+    control_->update_nodes(now_, kind, entries);
   }
 
-  std::string& out_;
-  std::int64_t who_;
+  std::string& output_;
+  std::int64_t scheduler_id_;
   double now_;
-  Names profiles_;
-  Names plans_;
-  Names zones_;
-  std::vector<std::string> servers_;
-  std::unordered_map<std::string, int> server_numbers_;
-  std::unordered_map<std::int64_t, std::size_t> volumes_;
-  std::unordered_map<std::string, int> ids_;  // open transactions only, see release()
-  std::vector<std::string> handles_;
-  std::vector<int> free_;
+  NameIndex profiles_;
+  NameIndex plans_;
+  NameIndex zones_;
+  std::vector<std::string> node_addresses_;  // by node index
+  std::unordered_map<std::string, int> node_indices_;
+  std::unordered_map<std::int64_t, std::size_t> volume_indices_;  // by the protocol's volume number
+  std::unordered_map<std::string, int> open_ids_;                 // by handle; until release()
+  std::vector<std::string> handles_;                              // by transaction index; empty if free
+  std::vector<int> free_ids_;                                     // transaction indices to reuse
   std::unique_ptr<Control> control_;
 };
 
-class Drill {
+// Reads the protocol from standard input until its end.
+class Adapter {
  public:
+  // Throws ProtocolError.
   int run() {
     std::string text;
-    while (next(text)) {
-      const Line sync(text, number_);
+    while (read_line(text)) {
+      const Line sync(text, line_number_);
       if (text.empty()) continue;
-      if (sync.message() != "SYNC") throw BadInput("line " + std::to_string(number_) + ": no SYNC");
-      batch(kMicro * sync.number("sim-time"));
-      out_ += "EOR\n";
-      std::cout.write(out_.data(), static_cast<std::streamsize>(out_.size()));
+      if (sync.message() != "SYNC")
+        throw ProtocolError("line " + std::to_string(line_number_) + ": expected SYNC, got '" +
+                            std::string(sync.message()) + "'");
+      handle_batch(kSecondsPerMicrosecond * sync.number("sim-time"));
+      output_ += "EOR\n";
+      std::cout.write(output_.data(), static_cast<std::streamsize>(output_.size()));
       std::cout.flush();
-      out_.clear();
+      output_.clear();
     }
     return 0;
   }
 
  private:
-  static constexpr std::size_t kLists = 16;  // the wire numbers lists from 0 to 15
+  static constexpr std::size_t kEndpointListCount = 16;  // the protocol numbers endpoint lists from 0 to 15
 
-  bool next(std::string& text) {
+  // Returns false at the end of the input.
+  bool read_line(std::string& text) {
     if (!std::getline(std::cin, text)) return false;
-    ++number_;
-    if (std::cin.eof()) throw BadInput("line " + std::to_string(number_) + ": cut short");
+    ++line_number_;
+    if (std::cin.eof())
+      throw ProtocolError("line " + std::to_string(line_number_) + ": input ends without a newline");
     return true;
   }
 
-  void need(std::string& text) {
-    if (!next(text)) throw BadInput("line " + std::to_string(number_) + ": input ends inside a batch");
+  void read_line_in_batch(std::string& text) {
+    if (!read_line(text))
+      throw ProtocolError("line " + std::to_string(line_number_) + ": input ends before EOB");
   }
 
-  void batch(double now) {
+  void handle_batch(double now) {
     std::string text;
     while (true) {
-      need(text);
+      read_line_in_batch(text);
       if (text == "EOB") return;
-      const Line line(text, number_);
+      const Line line(text, line_number_);
       if (line.message() == "SHEET") {
-        sheet(line);
+        read_endpoint_list(line);
       } else if (line.find("who")) {
-        event(line, now);
+        handle_event(line, now);
       }
     }
   }
 
-  void sheet(const Line& line) {
+  // Reads a SHEET message and the SERVER lines that follow it.
+  void read_endpoint_list(const Line& line) {
     const auto list = line.integer("list");
-    if (list < 0 || list >= static_cast<std::int64_t>(kLists)) line.fail("list");
-    auto& entries = lists_[static_cast<std::size_t>(list)];
-    entries.clear();
+    if (list < 0 || list >= static_cast<std::int64_t>(kEndpointListCount)) line.fail("list");
+    auto& endpoints = endpoint_lists_[static_cast<std::size_t>(list)];
+    endpoints.clear();
     std::string text;
-    for (auto left = line.integer("members", 0); left > 0; --left) {
-      need(text);
-      const Line member(text, number_);
-      if (member.message() != "SERVER") line.fail("members");
+    for (auto remaining = line.integer("members", 0); remaining > 0; --remaining) {
+      read_line_in_batch(text);
+      const Line member(text, line_number_);
+      if (member.message() != "SERVER") line.fail("members");  // more members announced than sent
       const auto state = member.integer("state", 1);
       if (state < 0 || state > 2) member.fail("state");
-      Listed listed;
-      listed.server = member.text("server");
-      listed.zone = member.find("campus").value_or("");
+      Endpoint endpoint;
+      endpoint.address = member.text("server");
+      endpoint.zone = member.find("campus").value_or("");
       const auto shard = member.integer("cohort", -1);
-      if (shard < -1 || static_cast<double>(shard) > kMostShards) member.fail("cohort");
-      listed.entry.shard = static_cast<int>(shard);
-      listed.entry.state = static_cast<NodeState>(state);
-      listed.entry.started_at = kMicro * member.number("came-up", 0.0);
-      entries.push_back(std::move(listed));
+      if (shard < -1 || static_cast<double>(shard) > kMaxShard) member.fail("cohort");
+      endpoint.entry.shard = static_cast<int>(shard);
+      endpoint.entry.state = static_cast<NodeState>(state);
+      endpoint.entry.started_at = kSecondsPerMicrosecond * member.number("came-up", 0.0);
+      endpoints.push_back(std::move(endpoint));
     }
   }
 
-  void event(const Line& line, double now) {
-    const auto who = line.integer("who");
-    const auto before = out_.size();
+  void handle_event(const Line& line, double now) {
+    const auto scheduler_id = line.integer("who");
+    const auto output_size = output_.size();
     try {
       if (line.message() == "SHUTDOWN") {
-        instances_.erase(who);
+        schedulers_.erase(scheduler_id);
       } else if (line.message() == "PROVISION") {
-        instances_[who] = std::make_unique<Instance>(line, out_, now);
-      } else if (const auto at = instances_.find(who); at != instances_.end()) {
-        at->second->handle(line, lists_, now);
+        schedulers_[scheduler_id] = std::make_unique<Scheduler>(line, output_, now);
+      } else if (const auto found = schedulers_.find(scheduler_id); found != schedulers_.end()) {
+        found->second->handle(line, endpoint_lists_, now);
       }
-    } catch (const BadInput&) {
+    } catch (const ProtocolError&) {
       throw;
     } catch (const std::exception& error) {
-      out_.resize(before);
-      out_ += "GIVE_IN\twho=" + std::to_string(who) + "\tmessage=" + error.what() + "\n";
+      output_.resize(output_size);  // without the actions of the failed event
+      output_ += "GIVE_IN\twho=" + std::to_string(scheduler_id) + "\tmessage=" + error.what() + "\n";
     }
   }
 
-  std::size_t number_ = 0;
-  std::string out_;
-  std::vector<std::vector<Listed>> lists_ = std::vector<std::vector<Listed>>(kLists);
-  std::unordered_map<std::int64_t, std::unique_ptr<Instance>> instances_;
+  std::size_t line_number_ = 0;
+  std::string output_;
+  std::vector<EndpointList> endpoint_lists_ = std::vector<EndpointList>(kEndpointListCount);
+  std::unordered_map<std::int64_t, std::unique_ptr<Scheduler>> schedulers_;
 };
 
 }  // namespace
@@ -293,7 +317,7 @@
 int main() {
   std::ios::sync_with_stdio(false);
   try {
-    return heronworks::drill::Drill().run();
+    return heronworks::drill::Adapter().run();
   } catch (const std::exception& error) {
     std::fprintf(stderr, "heronworks_drill: %s\n", error.what());
     return 1;
