--- a/tests/orderings/orderings_test.cpp
+++ b/tests/orderings/orderings_test.cpp
@@ -1,29 +1,30 @@
-// Every ordering of a few events for each of the seven rules, on the real module. Each world says how many
-// orderings it ran and that what it is about did occur.
+// Checks each rule of scenario.h on all orderings of a few events, and that the conditions it guards against
+// occurred in some of them.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
-#include "orderings/world.h"
+#include "orderings/scenario.h"
 
 using namespace heronworks;
 using namespace heronworks::orderings;
 
 namespace {
 
-enum ProfileNumber { kRead, kLabelledWrite, kOnce, kOrdered, kOrderedWrite };
+// Positions in Settings::profiles.
+enum ProfileIndex { kRead, kDeduplicatedWrite, kNonIdempotentWrite, kOrderedRead, kOrderedWrite };
 
-Settings base() {
+Settings default_settings() {
   Settings s;
   s.seed = 5;
-  const auto profile = [](Idempotency repeat, DedupScope group, bool in_order) {
+  const auto profile = [](Idempotency idempotency, DedupScope scope, bool ordered_by_key) {
     Profile p;
     p.target_latency = 0.4;
     p.deadline = 1;
     p.benefit = 1;
     p.dedup_window = 0.3;
-    p.idempotency = repeat;
-    p.dedup_scope = group;
-    p.ordered_by_key = in_order;
+    p.idempotency = idempotency;
+    p.dedup_scope = scope;
+    p.ordered_by_key = ordered_by_key;
     return p;
   };
   s.profiles = {profile(Idempotency::kIdempotent, DedupScope::kFleet, false),
@@ -49,16 +50,16 @@
   return s;
 }
 
-NodeEntry entry(int node, int shard, NodeState listing = NodeState::kReady, double came_up = 0) {
-  return {node, 0, shard, listing, came_up};
+NodeEntry node_entry(int node, int shard, NodeState state = NodeState::kReady, double started_at = 0) {
+  return {node, 0, shard, state, started_at};
 }
 
-Transaction work(int profile, int shard = 0, double left = 1, std::uint64_t key = 1, double units = 2,
-                 int plan = 0) {
+Transaction make_transaction(int profile, int shard = 0, double time_left = 1, std::uint64_t key = 1,
+                             double units = 2, int plan = 0) {
   Transaction t;
   t.has_key = true;
   t.key = key;
-  t.time_left = left;
+  t.time_left = time_left;
   t.units = units;
   t.profile = profile;
   t.plan = plan;
@@ -66,18 +67,19 @@
   return t;
 }
 
-Script plain() {
-  Script s;
-  s.settings = base();
-  s.nodes = {entry(0, 0), entry(1, 1)};
+// Two nodes, one for each of shards 0 and 1.
+Scenario two_node_scenario() {
+  Scenario s;
+  s.settings = default_settings();
+  s.nodes = {node_entry(0, 0), node_entry(1, 1)};
   return s;
 }
 
-// Node 0 comes up at 101, a second after the schedulers, by its own clock at `told`; what it bears in a fall
-// time then is just the safe number of units.
-Script cold(double told = 101) {
-  Script s = plain();
-  s.schedulers = 2;
+// Node 0 starts at 101, one second after the schedulers, and reports a start at `reported_start`. Its initial
+// capacity within an overload window is exactly the safe number of units.
+Scenario slow_start_scenario(double reported_start = 101) {
+  Scenario s = two_node_scenario();
+  s.scheduler_count = 2;
   Settings& g = s.settings;
   g.has_slow_start = true;
   g.safe_start_units = 4;
@@ -85,226 +87,240 @@
   g.warmup_time = 4;
   g.overload_window = 0.5;
   g.overload_multiple = 2;
-  s.up_at = 101;
-  s.warm_rate = g.safe_start_units / (g.overload_multiple * g.initial_capacity_share * g.overload_window);
-  s.nodes = {entry(1, 1)};
-  s.before = [told](World& w) {
-    w.pass(1);
-    for (int i = 0; i < w.schedulers(); ++i)
-      w.tell(i, UpdateKind::kDelta, {entry(0, 0, NodeState::kReady, told)});
+  s.node_0_started_at = 101;
+  s.node_0_rate = g.safe_start_units / (g.overload_multiple * g.initial_capacity_share * g.overload_window);
+  s.nodes = {node_entry(1, 1)};
+  s.set_up = [reported_start](ScenarioRun& run) {
+    run.advance_time(1);
+    for (int i = 0; i < run.scheduler_count(); ++i)
+      run.update_nodes(i, UpdateKind::kDelta, {node_entry(0, 0, NodeState::kReady, reported_start)});
   };
   return s;
 }
 
-Seen play(const std::string& name, const Script& script) {
-  const Seen seen = explore(script);
-  MESSAGE(name, ": ", seen.orderings, " orderings, ", seen.dispatches, " dispatches, ", seen.again,
-          " of them further");
-  CHECK_MESSAGE(seen.broken.empty(), seen.broken);
-  return seen;
+Coverage check_all_orderings(const std::string& name, const Scenario& scenario) {
+  const Coverage coverage = run_all_orderings(scenario);
+  MESSAGE(name, ": ", coverage.orderings, " orderings, ", coverage.dispatches, " dispatches, ",
+          coverage.retries, " of them retries");
+  CHECK_MESSAGE(coverage.violation.empty(), coverage.violation);
+  return coverage;
 }
 
 }  // namespace
 
-TEST_CASE("rule 1: one answer in time, whatever comes in which order") {
-  Script s = plain();
-  s.landings = {{0, work(kRead)}, {0, work(kOnce, 1, 0.3, 2)}, {0, work(kRead, 0, 0.01, 3)}};
+TEST_CASE("rule 1: each transaction gets one answer before its deadline, in any order of events") {
+  Scenario s = two_node_scenario();
+  s.arrivals = {{0, make_transaction(kRead)},
+                {0, make_transaction(kNonIdempotentWrite, 1, 0.3, 2)},
+                {0, make_transaction(kRead, 0, 0.01, 3)}};
   s.outcomes = {Outcome::kSucceeded, Outcome::kQueueFull, Outcome::kReset};
-  s.replies = 2;
-  s.abandons = 1;
-  s.seconds = 1;
-  s.passes = {0.1, 0.5};
-  const Seen seen = play("answers", s);
-  CHECK(seen.abandoned_out > 0);
-  CHECK(seen.second_replies > 0);
-  CHECK(seen.turned_back > 0);
-  CHECK(seen.given_up > 0);
+  s.max_replies = 2;
+  s.max_abandons = 1;
+  s.max_duplicate_replies = 1;
+  s.delays = {0.1, 0.5};
+  const Coverage coverage = check_all_orderings("answers", s);
+  CHECK(coverage.abandoned_in_flight > 0);
+  CHECK(coverage.duplicate_replies > 0);
+  CHECK(coverage.rejected > 0);
+  CHECK(coverage.expired > 0);
 }
 
-TEST_CASE("rule 1: time left beyond the profile's cut-off, or none, holds nothing for longer") {
-  Script s = plain();
-  s.landings = {{0, work(kRead, 0, 3600)}, {0, work(kOnce, 0, -0.5, 2)}, {0, work(kRead, 5, 3600, 3)}};
+TEST_CASE("rule 1: transactions with no time left, or more than the profile's deadline, end in time") {
+  Scenario s = two_node_scenario();
+  s.arrivals = {{0, make_transaction(kRead, 0, 3600)},
+                {0, make_transaction(kNonIdempotentWrite, 0, -0.5, 2)},
+                {0, make_transaction(kRead, 5, 3600, 3)}};
   s.outcomes = {Outcome::kError, Outcome::kSucceeded};
-  s.replies = 2;
-  s.abandons = 1;
-  s.passes = {0.2, 0.5};
-  play("odd time left", s);
+  s.max_replies = 2;
+  s.max_abandons = 1;
+  s.delays = {0.2, 0.5};
+  check_all_orderings("unusual time left", s);
 }
 
-TEST_CASE("rule 2: no effect twice, over repeat windows and restarts") {
-  Script s = plain();
-  s.landings = {{0, work(kLabelledWrite)}, {0, work(kOnce, 0, 1, 2)}};
+TEST_CASE("rule 2: no effect is repeated, across deduplication windows and node restarts") {
+  Scenario s = two_node_scenario();
+  s.arrivals = {{0, make_transaction(kDeduplicatedWrite)},
+                {0, make_transaction(kNonIdempotentWrite, 0, 1, 2)}};
   s.outcomes = {Outcome::kError, Outcome::kQueueFull, Outcome::kReset};
-  s.replies = 2;
-  s.seconds = 1;
-  s.abandons = 1;
-  s.news = {{0, UpdateKind::kDelta, {entry(0, 0, NodeState::kReady, 100.01)}}};
-  s.passes = {0.3};
-  const Seen seen = play("effects", s);
-  CHECK(seen.again > 0);
-  CHECK(seen.given_up > 0);
-  CHECK(seen.second_replies > 0);
+  s.max_replies = 2;
+  s.max_duplicate_replies = 1;
+  s.max_abandons = 1;
+  s.updates = {{0, UpdateKind::kDelta, {node_entry(0, 0, NodeState::kReady, 100.01)}}};
+  s.delays = {0.3};
+  const Coverage coverage = check_all_orderings("idempotency", s);
+  CHECK(coverage.retries > 0);
+  CHECK(coverage.expired > 0);
+  CHECK(coverage.duplicate_replies > 0);
 }
 
-TEST_CASE("rule 2: what may have run in a cell stays there, also when shards move between nodes") {
-  Script s = plain();
-  s.landings = {{0, work(kLabelledWrite, -1)}, {0, work(kOnce, -1, 1, 2)}};
+TEST_CASE("rule 2: a retry stays in the shard of the first dispatch while shards move between nodes") {
+  Scenario s = two_node_scenario();
+  s.arrivals = {{0, make_transaction(kDeduplicatedWrite, -1)},
+                {0, make_transaction(kNonIdempotentWrite, -1, 1, 2)}};
   s.outcomes = {Outcome::kError, Outcome::kQueueFull, Outcome::kReset};
-  s.replies = 3;
-  s.news = {{0, UpdateKind::kSnapshot, {entry(0, 1), entry(1, 0)}}};
-  s.passes = {0.05, 0.3};
-  const Seen seen = play("effects of new objects", s);
-  CHECK(seen.again > 0);
-  CHECK(seen.given_up > 0);
+  s.max_replies = 3;
+  s.updates = {{0, UpdateKind::kSnapshot, {node_entry(0, 1), node_entry(1, 0)}}};
+  s.delays = {0.05, 0.3};
+  const Coverage coverage = check_all_orderings("deduplication within a shard", s);
+  CHECK(coverage.retries > 0);
+  CHECK(coverage.expired > 0);
 }
 
-TEST_CASE("rule 2: what may have run in a zone stays there, also when nodes move between zones") {
-  Script s = plain();
+TEST_CASE("rule 2: a retry stays in the zone of the first dispatch while nodes move between zones") {
+  Scenario s = two_node_scenario();
   for (Profile& p : s.settings.profiles) p.dedup_scope = DedupScope::kZone;
-  const auto in_zones = [](int first, int second) {
-    std::vector<NodeEntry> nodes{entry(0, 0), entry(1, 1)};
-    nodes[0].zone = first;
-    nodes[1].zone = second;
+  const auto nodes_in_zones = [](int first_zone, int second_zone) {
+    std::vector<NodeEntry> nodes{node_entry(0, 0), node_entry(1, 1)};
+    nodes[0].zone = first_zone;
+    nodes[1].zone = second_zone;
     return nodes;
   };
-  s.nodes = in_zones(0, 1);
-  s.landings = {{0, work(kLabelledWrite, -1)}, {0, work(kLabelledWrite, 0, 1, 2)}};
+  s.nodes = nodes_in_zones(0, 1);
+  s.arrivals = {{0, make_transaction(kDeduplicatedWrite, -1)},
+                {0, make_transaction(kDeduplicatedWrite, 0, 1, 2)}};
   s.outcomes = {Outcome::kError, Outcome::kQueueFull, Outcome::kReset};
-  s.replies = 3;
-  s.news = {{0, UpdateKind::kSnapshot, in_zones(1, 0)}, {0, UpdateKind::kFailed, {}}};
-  s.passes = {0.05, 0.3};
-  const Seen seen = play("effects in zones", s);
-  CHECK(seen.again > 0);
-  CHECK(seen.given_up > 0);
+  s.max_replies = 3;
+  s.updates = {{0, UpdateKind::kSnapshot, nodes_in_zones(1, 0)}, {0, UpdateKind::kFailed, {}}};
+  s.delays = {0.05, 0.3};
+  const Coverage coverage = check_all_orderings("deduplication within a zone", s);
+  CHECK(coverage.retries > 0);
+  CHECK(coverage.expired > 0);
 }
 
-TEST_CASE("rule 3: nothing goes to a node that drains or is gone") {
-  Script s = plain();
-  s.landings = {{0, work(kRead)}, {0, work(kRead, -1, 1, 2)}, {0, work(kRead, 0, 1, 3)}};
+TEST_CASE("rule 3: nothing is dispatched to a draining or removed node") {
+  Scenario s = two_node_scenario();
+  s.arrivals = {{0, make_transaction(kRead)},
+                {0, make_transaction(kRead, -1, 1, 2)},
+                {0, make_transaction(kRead, 0, 1, 3)}};
   s.outcomes = {Outcome::kSucceeded, Outcome::kConnectFailed};
-  s.replies = 2;
-  s.news = {{0, UpdateKind::kDelta, {entry(0, 0, NodeState::kDraining)}},
-            {0, UpdateKind::kDelta, {entry(2, 0)}},
-            {0, UpdateKind::kSnapshot, {entry(1, 1)}}};
-  s.passes = {0.1};
-  const Seen seen = play("drains", s);
-  CHECK(seen.again > 0);
-  CHECK(seen.turned_back > 0);
+  s.max_replies = 2;
+  s.updates = {{0, UpdateKind::kDelta, {node_entry(0, 0, NodeState::kDraining)}},
+               {0, UpdateKind::kDelta, {node_entry(2, 0)}},
+               {0, UpdateKind::kSnapshot, {node_entry(1, 1)}}};
+  s.delays = {0.1};
+  const Coverage coverage = check_all_orderings("draining nodes", s);
+  CHECK(coverage.retries > 0);
+  CHECK(coverage.rejected > 0);
 }
 
-TEST_CASE("rule 4: two schedulers do not push a cold node over") {
-  Script s = cold();
+TEST_CASE("rule 4: two schedulers do not overload a node in slow start") {
+  Scenario s = slow_start_scenario();
   for (int i = 0; i < 4; ++i)
-    s.landings.push_back({i % 2, work(kRead, 0, 1, 1 + static_cast<std::uint64_t>(i), 4 - 2 * (i / 2))});
+    s.arrivals.push_back(
+        {i % 2, make_transaction(kRead, 0, 1, 1 + static_cast<std::uint64_t>(i), 4 - 2 * (i / 2))});
   s.outcomes = {Outcome::kSucceeded};
-  s.replies = 2;
-  s.passes = {0.3, 0.35, 0.6};
-  Seen seen = play("cold node", s);
-  CHECK(seen.cold_sends > 0);
-  // Both were served by its predecessor, all that it managed.
-  s.nodes = {entry(0, 0), entry(1, 1)};
-  s.up_at = 106;
-  s.before = [](World& w) {
+  s.max_replies = 2;
+  s.delays = {0.3, 0.35, 0.6};
+  Coverage coverage = check_all_orderings("slow start", s);
+  CHECK(coverage.slow_start_dispatches > 0);
+  // Before it restarts, both schedulers learn the node's full rate.
+  s.nodes = {node_entry(0, 0), node_entry(1, 1)};
+  s.node_0_started_at = 106;
+  s.set_up = [](ScenarioRun& run) {
     for (int i = 0; i < 24; ++i) {
-      for (int scheduler = 0; scheduler < 2; ++scheduler) w.land(scheduler, work(kRead, 0, 1, 50, 2));
-      w.pass(0.05);
-      w.reply_all(Outcome::kSucceeded);
-      w.pass(0.2);
+      for (int scheduler = 0; scheduler < 2; ++scheduler)
+        run.arrive(scheduler, make_transaction(kRead, 0, 1, 50, 2));
+      run.advance_time(0.05);
+      run.reply_to_all(Outcome::kSucceeded);
+      run.advance_time(0.2);
     }
     for (int scheduler = 0; scheduler < 2; ++scheduler) {
-      w.tell(scheduler, UpdateKind::kDelta, {entry(0, 0, NodeState::kReady, 106)});
+      run.update_nodes(scheduler, UpdateKind::kDelta, {node_entry(0, 0, NodeState::kReady, 106)});
     }
   };
-  s.passes = {0.3, 0.5};
-  s.replies = 1;
-  seen = play("cold node with a past", s);
-  CHECK(seen.cold_sends > 0);
+  s.delays = {0.3, 0.5};
+  s.max_replies = 1;
+  coverage = check_all_orderings("slow start of a restarted node", s);
+  CHECK(coverage.slow_start_dispatches > 0);
 }
 
-TEST_CASE(
-    "rule 4: schedulers that are killed and back at once do not spend their part of a cold node again") {
-  for (const int schedulers : {1, 2, 3}) {  // with an even part; in turn
-    Script s = cold();
-    s.schedulers = schedulers;
+TEST_CASE("rule 4: a restarted scheduler does not spend its part of a node's slow start twice") {
+  for (const int schedulers : {1, 2, 3}) {
+    Scenario s = slow_start_scenario();
+    s.scheduler_count = schedulers;
     s.settings.safe_start_units = 12;
-    s.warm_rate =
+    s.node_0_rate =
         12 / (s.settings.overload_multiple * s.settings.initial_capacity_share * s.settings.overload_window);
     for (int i = 0; i < 5; ++i) {
-      s.landings.push_back(
-          {i % schedulers, work(kRead, i == 3 ? -1 : 0, 1, 1 + static_cast<std::uint64_t>(i), 2 + i % 2)});
+      s.arrivals.push_back({i % schedulers, make_transaction(kRead, i == 3 ? -1 : 0, 1,
+                                                             1 + static_cast<std::uint64_t>(i), 2 + i % 2)});
     }
     s.outcomes = {Outcome::kQueueFull};
-    s.replies = 1;
-    s.kills = 2;
-    s.passes = {0.1, 0.3, 0.35};
-    const Seen seen = play("cold node, schedulers killed", s);
-    CHECK(seen.killed > 0);
-    CHECK(seen.cold_sends > 0);
+    s.max_replies = 1;
+    s.max_restarts = 2;
+    s.delays = {0.1, 0.3, 0.35};
+    const Coverage coverage = check_all_orderings("slow start, schedulers restarted", s);
+    CHECK(coverage.restarts > 0);
+    CHECK(coverage.slow_start_dispatches > 0);
   }
 }
 
-TEST_CASE("rule 4: the same where a node's clock is ahead, so that it comes up later than now") {
-  Script s = cold(101.4);
+TEST_CASE("rule 4: two schedulers do not overload a node in slow start whose clock is ahead") {
+  Scenario s = slow_start_scenario(101.4);
   for (int i = 0; i < 10; ++i)
-    s.landings.push_back({i % 2, work(kRead, 0, 1, 1 + static_cast<std::uint64_t>(i), 1)});
-  s.passes = {0.02, 0.3, 0.35};
-  const Seen seen = play("cold node, clocks apart", s);
-  CHECK(seen.cold_sends > 0);
+    s.arrivals.push_back({i % 2, make_transaction(kRead, 0, 1, 1 + static_cast<std::uint64_t>(i), 1)});
+  s.delays = {0.02, 0.3, 0.35};
+  const Coverage coverage = check_all_orderings("slow start, clock ahead", s);
+  CHECK(coverage.slow_start_dispatches > 0);
 }
 
-TEST_CASE("rule 5: one key, one at a time, in order, rested") {
-  Script s = plain();
-  s.landings = {{0, work(kOrdered)}, {0, work(kOrderedWrite)}, {0, work(kOrdered)}};
+TEST_CASE("rule 5: transactions of a key run one at a time, in order, and observe the quiet time") {
+  Scenario s = two_node_scenario();
+  s.arrivals = {{0, make_transaction(kOrderedRead)},
+                {0, make_transaction(kOrderedWrite)},
+                {0, make_transaction(kOrderedRead)}};
   s.outcomes = {Outcome::kSucceeded, Outcome::kReset, Outcome::kQueueFull};
-  s.replies = 2;
-  s.abandons = 1;
-  s.seconds = 1;
-  s.passes = {0.05, 0.12};
-  const Seen seen = play("order", s);
-  CHECK(seen.waited_for_key > 0);
-  CHECK(seen.abandoned_out > 0);
-  CHECK(seen.again > 0);
+  s.max_replies = 2;
+  s.max_abandons = 1;
+  s.max_duplicate_replies = 1;
+  s.delays = {0.05, 0.12};
+  const Coverage coverage = check_all_orderings("key order", s);
+  CHECK(coverage.delayed_by_key > 0);
+  CHECK(coverage.abandoned_in_flight > 0);
+  CHECK(coverage.retries > 0);
 }
 
-TEST_CASE("rule 5: the same while the list changes and the scheduler is killed") {
-  Script s = plain();
-  s.landings = {{0, work(kOrderedWrite)}, {0, work(kOrdered, 1)}, {0, work(kOrderedWrite, -1)}};
+TEST_CASE("rule 5: a key stays in order while the endpoint list changes and the scheduler restarts") {
+  Scenario s = two_node_scenario();
+  s.arrivals = {{0, make_transaction(kOrderedWrite)},
+                {0, make_transaction(kOrderedRead, 1)},
+                {0, make_transaction(kOrderedWrite, -1)}};
   s.outcomes = {Outcome::kSucceeded, Outcome::kReset};
-  s.replies = 2;
-  s.kills = 1;
-  s.news = {{0, UpdateKind::kDelta, {entry(0, 0, NodeState::kDraining), entry(2, 0)}}};
-  s.passes = {0.05, 0.12};
-  const Seen seen = play("order, list and kill", s);
-  CHECK(seen.waited_for_key > 0);
-  CHECK(seen.killed > 0);
+  s.max_replies = 2;
+  s.max_restarts = 1;
+  s.updates = {{0, UpdateKind::kDelta, {node_entry(0, 0, NodeState::kDraining), node_entry(2, 0)}}};
+  s.delays = {0.05, 0.12};
+  const Coverage coverage = check_all_orderings("key order, updates and restart", s);
+  CHECK(coverage.delayed_by_key > 0);
+  CHECK(coverage.restarts > 0);
 }
 
-TEST_CASE("rule 6: further dispatches keep to the budget in every window") {
-  Script s = plain();
+TEST_CASE("rule 6: retries stay within the retry budget in every window") {
+  Scenario s = two_node_scenario();
   s.settings.has_retry_budget = true;
   s.settings.retry_budget_base = 1;
   s.settings.retry_budget_ratio = 0.5;
   s.settings.retry_budget_window = 0.6;
   for (int i = 0; i < 3; ++i)
-    s.landings.push_back({0, work(kRead, i % 2, 1, 1 + static_cast<std::uint64_t>(i))});
+    s.arrivals.push_back({0, make_transaction(kRead, i % 2, 1, 1 + static_cast<std::uint64_t>(i))});
   s.outcomes = {Outcome::kQueueFull};
-  s.replies = 4;
-  s.passes = {0.1, 0.55};
-  const Seen seen = play("budget", s);
-  CHECK(seen.again > 0);
+  s.max_replies = 4;
+  s.delays = {0.1, 0.55};
+  const Coverage coverage = check_all_orderings("retry budget", s);
+  CHECK(coverage.retries > 0);
 }
 
-TEST_CASE("rule 7: two schedulers, one of them killed, hold a limit together") {
-  Script s = plain();
-  s.schedulers = 2;
+TEST_CASE("rule 7: two schedulers, one of them restarted, keep a volume's limit together") {
+  Scenario s = two_node_scenario();
+  s.scheduler_count = 2;
   for (int i = 0; i < 4; ++i)
-    s.landings.push_back({i % 2, work(kRead, i / 2, 1, 1 + static_cast<std::uint64_t>(i), 4, 1)});
+    s.arrivals.push_back({i % 2, make_transaction(kRead, i / 2, 1, 1 + static_cast<std::uint64_t>(i), 4, 1)});
   s.outcomes = {Outcome::kSucceeded, Outcome::kQueueFull};
-  s.replies = 2;
-  s.kills = 1;
-  s.passes = {0.3, 0.5, 0.6};
-  const Seen seen = play("limits", s);
-  CHECK(seen.killed > 0);
-  CHECK(seen.withheld > 0);
-  CHECK(seen.dispatches > seen.orderings);
+  s.max_replies = 2;
+  s.max_restarts = 1;
+  s.delays = {0.3, 0.5, 0.6};
+  const Coverage coverage = check_all_orderings("limit", s);
+  CHECK(coverage.restarts > 0);
+  CHECK(coverage.withheld_by_limit > 0);
+  CHECK(coverage.dispatches > coverage.orderings);
 }
