--- a/bench/ledger.cpp
+++ b/bench/ledger.cpp
@@ -1,5 +1,5 @@
-// Ledgers of a million entries and more: bytes an entry, entries a second, recovery with and without a
-// snapshot, reconciliation against the number of entries. Arguments: entries of the largest (1,000,000).
+// Ledger throughput and size per entry, recovery with and without a snapshot, and reconciliation of several
+// ledgers. Argument: entries of the largest ledger (default 1,000,000).
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -15,111 +15,112 @@
 
 namespace {
 
-double now() {
+double now_seconds() {
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-// Entries from `from` on, in groups as a busy scheduler's.
-double fill(store::FileSystem& files, const std::string& folder, std::uint64_t entries, std::uint64_t from,
-            bool snapshot) {
+// Writes entries with identities from `first_identity` on, in group commits. Returns the seconds taken,
+// without the snapshot.
+double write_ledger(store::FileSystem& files, const std::string& folder, std::uint64_t entry_count,
+                    std::uint64_t first_identity, bool snapshot) {
   store::ReplayResult state;
-  store::FileError fault;
+  store::FileError error;
   store::LogOptions options;
   options.keep_all_segments = true;
-  const auto log = store::Log::open(files, folder + "/entries", options, {}, state, fault);
+  const auto log = store::Log::open(files, folder + "/entries", options, {}, state, error);
   if (!log) std::exit(1);
   Book book({3600, 60, 200000});
   std::vector<std::string> records;
-  book.open(1e9, from + 1, 0, records);
-  const double start = now();
-  for (std::uint64_t i = 0; i < entries; ++i) {
-    Use u;
-    u.identity = from + i;
-    u.tenant = "cooperative";
-    u.volume = static_cast<std::uint32_t>(1 + i % 300);
-    u.plan = "standard";
-    u.profile = "read";
-    u.units = static_cast<std::uint32_t>(1 + i % 8);
-    u.bytes = 4096 * u.units;
-    u.client = "nqn.2026-11.org.heronworks:client.7";
-    book.honoured(1e9 + 0.0001 * static_cast<double>(i), u, records);
-    for (const std::string& r : records) log->append(store::byte_view(r));
+  book.open(1e9, first_identity + 1, 0, records);
+  const double start = now_seconds();
+  for (std::uint64_t i = 0; i < entry_count; ++i) {
+    Use use;
+    use.identity = first_identity + i;
+    use.tenant = "cooperative";
+    use.volume = static_cast<std::uint32_t>(1 + i % 300);
+    use.plan = "standard";
+    use.profile = "read";
+    use.units = static_cast<std::uint32_t>(1 + i % 8);
+    use.bytes = 4096 * use.units;
+    use.client = "nqn.2026-11.org.heronworks:client.7";
+    book.honoured(1e9 + 0.0001 * static_cast<double>(i), use, records);
+    for (const std::string& record : records) log->append(store::byte_view(record));
     records.clear();
     if (log->pending_count() >= 1000 && log->commit() != 0) std::exit(1);
   }
-  book.tick(1e9 + 0.0001 * static_cast<double>(entries) + 7200, records);
-  for (const std::string& r : records) log->append(store::byte_view(r));
+  book.tick(1e9 + 0.0001 * static_cast<double>(entry_count) + 7200, records);
+  for (const std::string& record : records) log->append(store::byte_view(record));
   if (log->commit() != 0) std::exit(1);
   log->write_durability_marker();
-  const double took = now() - start;
+  const double elapsed = now_seconds() - start;
   if (snapshot && log->write_snapshot(log->last_sequence(), store::byte_view(book.snapshot())) != 0)
     std::exit(1);
-  return took;
+  return elapsed;
 }
 
 double recover(store::FileSystem& files, const std::string& folder) {
-  const double start = now();
+  const double start = now_seconds();
   store::ReplayResult state;
-  store::FileError fault;
+  store::FileError error;
   Book book({3600, 60, 200000});
-  std::string wrong;
+  std::string replay_error;
   store::LogOptions options;
   options.keep_all_segments = true;
-  if (!store::Log::open(files, folder + "/entries", options, into(book, wrong), state, fault) ||
-      !wrong.empty())
+  if (!store::Log::open(files, folder + "/entries", options, into(book, replay_error), state, error) ||
+      !replay_error.empty())
     std::exit(1);
-  return now() - start;
+  return now_seconds() - start;
 }
 
-double most_memory() {
-  rusage u{};
-  ::getrusage(RUSAGE_SELF, &u);
-  return static_cast<double>(u.ru_maxrss) / 1024;
+double peak_memory_mib() {
+  rusage usage{};
+  ::getrusage(RUSAGE_SELF, &usage);
+  return static_cast<double>(usage.ru_maxrss) / 1024;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::uint64_t most = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1000000;
+  const std::uint64_t max_entries = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1000000;
   const std::string root = "/var/tmp/heronworks-ledger-bench-" + std::to_string(::getpid());
   store::PosixFileSystem files;
   std::printf("%12s %14s %12s %14s %14s\n", "entries", "entries/s", "bytes each", "recovery s",
               "with snapshot");
-  for (std::uint64_t n = most / 10; n <= most; n *= 10) {
-    const std::string folder = root + "/" + std::to_string(n);
-    const double took = fill(files, folder, n, 0, false);
+  for (std::uint64_t entry_count = max_entries / 10; entry_count <= max_entries; entry_count *= 10) {
+    const std::string folder = root + "/" + std::to_string(entry_count);
+    const double elapsed = write_ledger(files, folder, entry_count, 0, false);
     double bytes = 0;
-    for (const auto& f : std::filesystem::directory_iterator(folder + "/entries"))
-      bytes += static_cast<double>(f.file_size());
-    const double without = recover(files, folder);
+    for (const auto& file : std::filesystem::directory_iterator(folder + "/entries"))
+      bytes += static_cast<double>(file.file_size());
+    const double recovery_time = recover(files, folder);
     std::filesystem::remove_all(folder);
-    fill(files, folder, n, 0, true);
-    std::printf("%12llu %14.0f %12.1f %14.2f %14.3f\n", static_cast<unsigned long long>(n),
-                static_cast<double>(n) / took, bytes / static_cast<double>(n), without,
-                recover(files, folder));
+    write_ledger(files, folder, entry_count, 0, true);
+    std::printf("%12llu %14.0f %12.1f %14.2f %14.3f\n", static_cast<unsigned long long>(entry_count),
+                static_cast<double>(entry_count) / elapsed, bytes / static_cast<double>(entry_count),
+                recovery_time, recover(files, folder));
     std::filesystem::remove_all(folder);
   }
   std::printf("%12s %10s %12s %14s %12s\n", "ledgers", "entries", "s", "entries/s", "most MiB");
   std::vector<std::string> folders;
-  std::uint64_t all = 0;
+  std::uint64_t total_entries = 0;
   for (int i = 0; i < 10; ++i) {
     folders.push_back(root + "/l" + std::to_string(i));
-    fill(files, folders.back(), most / 10, static_cast<std::uint64_t>(i) * most / 10 - (i > 0 ? 5 : 0),
-         false);
-    all += most / 10;
+    write_ledger(files, folders.back(), max_entries / 10,
+                 static_cast<std::uint64_t>(i) * max_entries / 10 - (i > 0 ? 5 : 0), false);
+    total_entries += max_entries / 10;
     if (i != 0 && i != 2 && i != 9) continue;
-    ReconcileOptions o;
-    o.scratch = root + "/runs";
-    Reconciled r;
-    store::FileError fault;
-    const double start = now();
+    ReconcileOptions options;
+    options.scratch = root + "/runs";
+    Reconciled result;
+    store::FileError error;
+    const double start = now_seconds();
     if (!reconcile(
-            files, folders, o, [](const Found&) {}, r, fault))
+            files, folders, options, [](const Found&) {}, result, error))
       return 1;
     std::printf("%12zu %10llu %12.2f %14.0f %12.0f  billed twice %llu\n", folders.size(),
-                static_cast<unsigned long long>(all), now() - start,
-                static_cast<double>(all) / (now() - start), most_memory(),
-                static_cast<unsigned long long>(r.found[0]));
+                static_cast<unsigned long long>(total_entries), now_seconds() - start,
+                static_cast<double>(total_entries) / (now_seconds() - start), peak_memory_mib(),
+                static_cast<unsigned long long>(result.found[0]));
   }
   std::filesystem::remove_all(root);
   return 0;
