--- a/src/control.cpp
+++ b/src/control.cpp
@@ -1,9 +1,5 @@
-// The decisions of heronworks, all of them.
-//
-// How to call it: build a Control with the settings of one scheduler and a ControlActions, then call one
-// method for each thing that happens, with the time in seconds. It acts by calling the ControlActions before
-// it returns. Interface: control.h; settings.h and state.h hold the plain types. docs/design.md says why,
-// docs/on-call.md what one sees.
+// Implementation of the decision module. control.h has its interface, settings.h and state.h its data types;
+// docs/design.md explains the design and docs/on-call.md its operation.
 #include "control.h"
 
 #include <algorithm>
@@ -13,65 +9,88 @@
 namespace heronworks {
 namespace {
 
-// From the paper.
-constexpr double kPeriod = 1.0;         // s between two moves of a gear
-constexpr double kPromoteAbove = 0.95;  // part of the cap slice that arrivals must exceed
-
-// Starting values of the design page.
-constexpr double kThreshold = 0.8;  // load from which a node counts as loaded
-constexpr double kTopGears = 8;     // top cap without a limit, in gear 0s
-constexpr double kAimPart = 0.5;    // part of the tightest contract time that units out may fill
-constexpr int kLeastOut = 4;        // transactions that may always be out at a node
-constexpr int kMostOut = 32;        // transactions out at a node, whatever it manages
-constexpr int kFlushPeriods = 4;    // shorter rises of latency are flush pauses, not load
-
-// Ours.
-constexpr double kBucketReplies = 3;  // replies that a mean needs, so that one large reply does not make it
-constexpr double kBestDrift = 1.01;   // a bucket: best latency is forgotten slowly, as nodes change for good
-constexpr double kKeep = 0.7;         // a second: what is kept of a volume's told and own service
-constexpr double kRateKeep = 0.7;     // a second: what is kept of the learned rate while the bound is reached
-constexpr double kLatencyGain = 0.2;  // weight of the newest reply in a node's recent latency
-constexpr double kFallGain = 0.4;     // the same for a reply that is quicker than that
-constexpr double kLeastFall = 4;      // power; steep, so that the latency of a crowd stays near the aim
-constexpr double kMostJump = 2;       // latency that one reply may tell, in recent latencies
-constexpr double kWaitMargin = 0.7;   // recent waits to have time for; under 1, as a wait may be an old pause
-constexpr double kSweep = 0.01;       // s between two looks at what is held
-constexpr double kStallAfter = 0.05;  // s by which a wake-up is late when this scheduler stood still
-constexpr double kClockSlack = 1e-5;  // s by which a wake-up may seem early; hosts' clocks are rounded
-constexpr double kAnswerMargin = 0.03;  // s before the cut-off at which a held transaction is answered
-constexpr double kSlackUnit = 2.0;      // s: how little the time left counts beside the benefit
-constexpr double kSameCutOff = 0.01;    // s by which the cut-offs of a try and its repeat may differ
-constexpr double kPatienceDrift = 1.2;  // a second: how fast a client that left early is forgotten
-constexpr double kStayed = 1.25;        // times that bound for each honoured one; it holds while half leave
-constexpr double kTrialEvery = 0.5;   // s after which late work goes as a trial; longest pause under one out
-constexpr double kAgainPause = 0.03;  // s before a further dispatch, times the dispatches so far
-constexpr double kAgainFloor = 0.1;   // least chance of a further dispatch, so that health is found again
-constexpr double kAgainGain = 0.1;    // weight of the newest where few come: further dispatches, bad replies
-constexpr double kTurnTime = 1.25;    // turn at a cold node, in fall times; a window meets one turn only
-constexpr double kTurnPart = 0.2;     // part of the fall time in which the scheduler in turn sends
-constexpr double kColdSpan = 1.05;  // of the fall time for which what was sent counts; clocks differ a little
-constexpr double kGapGrows = 2;     // gap after a bad reply, in gaps before
-constexpr double kBadPart = 0.25;  // part of bad replies, all nodes: from it one makes a gap, work is thinned
-constexpr double kNewsDrift = 0.9;  // a second: what is kept of a gap and a wait that nothing new is heard of
-constexpr double kColdPart = 0.4;   // part of what pushes a cold node over that all may send it; work varies
-constexpr double kManagedKeep = 0.9;  // a second: what is kept of a shard's usual service
-constexpr int kBudgetSlots = 20;      // parts of the budget's window
-constexpr double kAskFirst = 0.5;     // s before a failed call for the list is made again, doubling
-constexpr double kAskMost = 1.4;      // s between calls at most; two failed ones fit in 6 s
-constexpr double kNever = std::numeric_limits<double>::infinity();
-
-static_assert(std::tuple_size_v<decltype(Node::recent_unit_latency)> == kFlushPeriods);
-
-std::size_t at(int index) { return static_cast<std::size_t>(index); }
-
-// The bounds on what waits there, to one more.
-void widen(ShardQueue& w, const TransactionState& o) {
-  w.earliest_slo_deadline = std::min(w.earliest_slo_deadline, o.slo_deadline);
-  w.earliest_deadline = std::min(w.earliest_deadline, o.deadline);
-  w.min_units = std::min(w.min_units, o.transaction.units);
-  w.max_units = std::max(w.max_units, o.transaction.units);
-  w.max_benefit_fraction = std::max(w.max_benefit_fraction, o.benefit_fraction);
-  w.has_retries = w.has_retries || o.dispatch_count > 0;
+constexpr double kInfinity = std::numeric_limits<double>::infinity();
+
+// Periodic update.
+constexpr double kUpdatePeriod = 1.0;      // s, as in the IOTune paper; a gear moves by at most one step
+constexpr double kUsageDecay = 0.7;        // per period; of a volume's served units
+constexpr double kServiceRateDecay = 0.7;  // per period in which the concurrency limit was reached
+constexpr double kShardRateDecay = 0.9;    // per period
+constexpr double kNodeDelayDecay = 0.9;    // per period; of a node's spacing and queueing delay
+
+// Volumes.
+constexpr double kGearUpUtilization = 0.95;   // part of the cap above which arrivals raise the gear (IOTune)
+constexpr double kLoadedNodeThreshold = 0.8;  // load from which no gear rises and volumes over their cap wait
+constexpr double kMaxGearMultiple = 8;        // top cap of a volume without a limit, in caps of gear 0
+constexpr double kMinShareFraction = 0.1;     // least share of a scheduler, as a fraction of an even share
+
+// Latency of nodes.
+constexpr int kLatencySamples = 4;            // kept per node; outlast a flush pause of the node
+constexpr double kMinSampleReplies = 3;       // per sample, so that no sample is a single large reply
+constexpr double kBestLatencyGrowth = 1.01;   // per sample; follows nodes that become slower for good
+constexpr double kLatencyGain = 0.2;          // weight of the newest value in moving averages of latency
+constexpr double kLatencyDecreaseGain = 0.4;  // the same for a value below the average
+constexpr double kMaxLatencyStep = 2;         // largest value of one result, in multiples of the average
+constexpr double kQueueingDelayWeight = 0.7;  // in forecasts; below 1, as the average may include old pauses
+
+// Concurrency limit of a node.
+constexpr double kDelayTargetFraction = 0.5;  // queueing delay to aim for, in tightest target latencies
+constexpr int kMinConcurrency = 4;            // dispatches in flight while the queueing delay is on target
+constexpr int kMaxConcurrency = 32;           // dispatches in flight
+constexpr double kConcurrencyBackoffExponent = 4;  // steep, to keep the queueing delay close to its target
+constexpr double kProbeInterval = 0.5;             // s without dispatches after which a node is tried again
+constexpr double kSpacingGrowth = 2;               // factor on the spacing of dispatches per bad result
+
+// Health of nodes, load shedding.
+constexpr double kResultGain = 0.1;           // weight of the newest result in success and bad-result ratios
+constexpr double kSheddingThreshold = 0.25;   // bad-result ratio over all nodes from which load is shed
+constexpr double kMinRotationHealth = 0.1;    // least success rate assumed, so that recovery is noticed
+constexpr double kMinRetryProbability = 0.1;  // so that recovery is noticed
+
+// Queues and timers.
+constexpr double kQueueScanInterval = 0.01;  // s
+constexpr double kStallThreshold = 0.05;     // s by which a timer is late if this process was suspended
+constexpr double kTimerTolerance = 1e-5;     // s by which a timer may fire early, from rounding
+constexpr double kDeadlineMargin = 0.03;  // s before the deadline at which queued transactions are answered
+constexpr double kUrgencyOffset = 2.0;    // s added to the time left; weighs benefit against urgency
+
+// Clients.
+constexpr double kRetryDeadlineTolerance = 0.01;  // s between the deadlines of an attempt and its retry
+constexpr double kClientTimeoutGrowth = 1.2;      // per period, so that a learned time-out expires
+constexpr double kClientTimeoutRecovery = 1.25;   // per success; undoes one early departure
+
+// Retries.
+constexpr double kRetryBackoff = 0.03;  // s per earlier dispatch
+constexpr int kRetryBudgetSlots = 20;   // per window of the retry budget
+
+// Warm-up of started nodes.
+constexpr double kTurnLength = 1.25;            // overload windows; each window meets one send phase only
+constexpr double kTurnSendPhase = 0.2;          // overload windows, from the start of a turn
+constexpr double kOverloadWindowMargin = 1.05;  // factor, as the clocks of hosts differ
+constexpr double kWarmupUsualFraction = 0.4;    // part of the capacity allotted by usual rate
+constexpr double kMinInitialCapacityShare = 0.01;
+
+// Requests for the endpoint list.
+constexpr double kMinListRequestInterval = 0.5;  // s; doubles with each failure
+constexpr double kMaxListRequestInterval = 1.4;  // s; two failed requests fit in 6 s
+constexpr int kMaxCountedListFailures = 8;
+
+// Random factor on intervals, so that schedulers do not act in step.
+constexpr double kMinJitter = 0.75;
+constexpr double kMaxJitter = 1.25;
+
+static_assert(std::tuple_size_v<decltype(Node::recent_unit_latency)> == kLatencySamples);
+
+std::size_t to_index(int index) { return static_cast<std::size_t>(index); }
+
+// Extends the queue's bounds to include the transaction.
+void extend_bounds(ShardQueue& queue, const TransactionState& state) {
+  queue.earliest_slo_deadline = std::min(queue.earliest_slo_deadline, state.slo_deadline);
+  queue.earliest_deadline = std::min(queue.earliest_deadline, state.deadline);
+  queue.min_units = std::min(queue.min_units, state.transaction.units);
+  queue.max_units = std::max(queue.max_units, state.transaction.units);
+  queue.max_benefit_fraction = std::max(queue.max_benefit_fraction, state.benefit_fraction);
+  queue.has_retries = queue.has_retries || state.dispatch_count > 0;
 }
 
 }  // namespace
@@ -79,784 +98,850 @@
 Control::Control(Settings settings, ControlActions& actions, double now)
     : settings_(std::move(settings)),
       actions_(actions),
-      random_(static_cast<std::minstd_rand::result_type>(settings_.seed % 2147483647)),
-      started_(now),
-      answer_margin_(kAnswerMargin + 2 * settings_.clock_resolution),
-      min_target_latency_(kNever),
-      second_at_(now + kPeriod),
-      next_list_request_at_(kNever),
-      retry_budget_(kBudgetSlots + 1) {
-  double rates = 0;
+      random_(static_cast<std::minstd_rand::result_type>(settings_.seed % std::minstd_rand::modulus)),
+      started_at_(now),
+      deadline_margin_(kDeadlineMargin + 2 * settings_.clock_resolution),
+      min_target_latency_(kInfinity),
+      next_update_at_(now + kUpdatePeriod),
+      next_list_request_at_(kInfinity),
+      retry_budget_(kRetryBudgetSlots + 1) {
+  double usual_rates = 0;
   double weights = 0;
-  for (const Plan& p : settings_.plans) {
-    rates += std::max(p.usual_rate, p.reservation);
-    weights += p.weight;
+  for (const Plan& plan : settings_.plans) {
+    usual_rates += std::max(plan.usual_rate, plan.reservation);
+    weights += plan.weight;
   }
-  unit_share_ = weights > 0 ? rates / weights : 0;
-  for (const Profile& p : settings_.profiles) {
-    min_target_latency_ = std::min(min_target_latency_, p.target_latency);
-    best_benefit_ = std::max(best_benefit_, p.benefit);
+  usual_rate_per_weight_ = weights > 0 ? usual_rates / weights : 0;
+  for (const Profile& profile : settings_.profiles) {
+    min_target_latency_ = std::min(min_target_latency_, profile.target_latency);
+    max_benefit_ = std::max(max_benefit_, profile.benefit);
   }
   if (settings_.requests_endpoint_list) request_endpoint_list(now);
-  serve(now);
+  process_all_queues(now);
 }
 
-// ---- What can happen ----
+// ---- Events ----
 
-void Control::update_nodes(double now, UpdateKind scope, const std::vector<NodeEntry>& entries) {
-  if (scope == UpdateKind::kFailed) {
-    // Danger: a list out of reach, or a broken watch, which look alike. Asking again is right for both; the
-    // growing pause keeps schedulers from holding a service down that has just come back.
-    failed_list_requests_ = std::min(failed_list_requests_ + 1, 8);
-    const double pause = std::min(kAskMost, kAskFirst * std::pow(2, failed_list_requests_ - 1));
-    next_list_request_at_ = now + pause * std::uniform_real_distribution(0.75, 1.25)(random_);
+void Control::update_nodes(double now, UpdateKind kind, const std::vector<NodeEntry>& entries) {
+  if (kind == UpdateKind::kFailed) {
+    // An unreachable discovery service and a broken watch look alike; a new request serves both. The back-off
+    // keeps schedulers from overloading a service that has just recovered.
+    failed_list_requests_ = std::min(failed_list_requests_ + 1, kMaxCountedListFailures);
+    const double interval =
+        std::min(kMaxListRequestInterval, kMinListRequestInterval * std::pow(2, failed_list_requests_ - 1));
+    next_list_request_at_ = now + interval * std::uniform_real_distribution(kMinJitter, kMaxJitter)(random_);
     return;
   }
-  if (scope != UpdateKind::kPersisted) {
+  if (kind != UpdateKind::kPersisted) {
     failed_list_requests_ = 0;
-    next_list_request_at_ = kNever;
+    next_list_request_at_ = kInfinity;
   }
-  if (scope != UpdateKind::kDelta) {
+  if (kind != UpdateKind::kDelta) {
     for (Node& node : nodes_) node.state = NodeState::kRemoved;
   }
-  for (const NodeEntry& e : entries) {
-    Node& node = node_at(e.node);
-    if (e.index_reused) node = Node{};
-    if (node.listed &&
-        e.started_at > node.started_at) {  // a new process: what was learned of the old one is void
+  for (const NodeEntry& entry : entries) {
+    Node& node = node_at(entry.node);
+    if (entry.index_reused) node = Node{};
+    if (node.listed && entry.started_at > node.started_at) {  // forgets the latencies of the earlier process
       node.samples = 0;
       node.sample_units = node.sample_time = node.sample_count = 0;
       node.success_rate = node.retry_success_rate = 1;
     }
     node.listed = true;
-    node.state = e.state;
-    node.zone = e.zone;
-    node.shard = e.shard;
-    node.started_at = e.started_at;
+    node.state = entry.state;
+    node.zone = entry.zone;
+    node.shard = entry.shard;
+    node.started_at = entry.started_at;
   }
-  newest_.clear();
+  current_node_of_shard_.clear();
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     const Node& node = nodes_[i];
     if (node.state != NodeState::kReady || node.shard < 0) continue;
-    if (newest_.size() <= at(node.shard)) newest_.resize(at(node.shard) + 1, -1);
-    int& newest = newest_[at(node.shard)];
-    if (newest < 0 || node.started_at > nodes_[at(newest)].started_at) newest = static_cast<int>(i);
+    if (current_node_of_shard_.size() <= to_index(node.shard))
+      current_node_of_shard_.resize(to_index(node.shard) + 1, -1);
+    int& current = current_node_of_shard_[to_index(node.shard)];
+    if (current < 0 || node.started_at > nodes_[to_index(current)].started_at) current = static_cast<int>(i);
   }
-  serve(now);
+  process_all_queues(now);
 }
 
-// Danger: the new service is asked as late as the old one, which was down, had got to; and a call that is out
-// there already is begun anew when the old pause is over.
+// The back-off and a request in flight concern the previous address, so neither delays the new request.
 void Control::discovery_moved(double now) {
   failed_list_requests_ = 0;
   request_endpoint_list(now);
 }
 
-void Control::transaction_arrived(double now, int id, const Transaction& t) {
-  note_stall(now);
-  if (transactions_.size() <= at(id)) transactions_.resize(at(id) + 1);
-  TransactionState& o = transactions_[at(id)];
-  o = TransactionState{};
-  o.in_use = true;
-  o.transaction = t;
-  const Profile& profile = settings_.profiles[at(t.profile)];
-  // Danger: a client that tells hours left has what it left unserved remembered for as long.
-  o.deadline = now + std::min(t.time_left, profile.deadline);
-  // The contract time of a client's repeat began with its first try. Danger: clients in a hurry bring little
-  // time on a first try too; so a repeat is known by what it is about and by the same cut-off as one answered
-  // before.
-  o.slo_deadline = std::min(now + profile.target_latency, o.deadline);
-  if (now == stalled_at_) o.slo_deadline -= std::clamp(profile.deadline - t.time_left, 0.0, stalled_for_);
-  o.arrived_at = now;
-  o.random_draw = std::uniform_real_distribution(0.0, 1.0)(random_);
-  if (t.index_reused && volumes_.size() > at(t.volume)) volumes_[at(t.volume)] = Volume{};
-  Volume& v = volume_of(now, t);
-  o.slo_deadline = std::min(o.slo_deadline, now + v.client_timeouts[at(t.profile)]);
-  const auto past = t.has_key ? unserved_.find(t.key) : unserved_.end();
-  if (past != unserved_.end() && past->second.volume == t.volume && past->second.profile == t.profile &&
-      std::abs(past->second.deadline - o.deadline) < kSameCutOff) {
-    o.slo_deadline = std::min(o.slo_deadline, past->second.slo_deadline);
-  }
-  retry_budget_slot(now).arrivals += 1;
-  v.arrived_units += t.units;
-  const int node = place(now, o);
-  if (node >= 0) v.node_load_units += t.units * load(nodes_[at(node)]);
-  if (profile.ordered_by_key && t.has_key) key_queues_[t.key].transactions.push_back(id);
-  value_per_unit(now, o);
-  hold(id);
-  if (now == stalled_at_) {  // all that came meanwhile is looked at together
-    wake(now, now + settings_.clock_resolution);
-  } else if (stuck(now, t.shard, false)) {
-    consider(now, id);
-    look(now);
-    if (!o.queued) shard_queues_[at(t.shard + 1)].ids.pop_back();
+void Control::transaction_arrived(double now, int id, const Transaction& transaction) {
+  detect_stall(now);
+  if (transactions_.size() <= to_index(id)) transactions_.resize(to_index(id) + 1);
+  TransactionState& state = transactions_[to_index(id)];
+  state = TransactionState{};
+  state.in_use = true;
+  state.transaction = transaction;
+  const Profile& profile = settings_.profiles[to_index(transaction.profile)];
+  // The profile's deadline also bounds how long an unserved transaction is remembered.
+  state.deadline = now + std::min(transaction.time_left, profile.deadline);
+  state.slo_deadline = std::min(now + profile.target_latency, state.deadline);
+  // Transactions that arrived during a stall of this process have aged meanwhile.
+  if (now == stalled_at_)
+    state.slo_deadline -= std::clamp(profile.deadline - transaction.time_left, 0.0, stalled_for_);
+  state.arrived_at = now;
+  state.random_draw = std::uniform_real_distribution(0.0, 1.0)(random_);
+  if (transaction.index_reused && volumes_.size() > to_index(transaction.volume))
+    volumes_[to_index(transaction.volume)] = Volume{};
+  Volume& volume = volume_for(now, transaction);
+  state.slo_deadline =
+      std::min(state.slo_deadline, now + volume.client_timeouts[to_index(transaction.profile)]);
+  // The target latency of a client's retry counts from the first attempt. First attempts with little time
+  // left occur too, so a retry is recognised by its key, volume, profile and deadline.
+  const auto earlier = transaction.has_key ? unserved_.find(transaction.key) : unserved_.end();
+  if (earlier != unserved_.end() && earlier->second.volume == transaction.volume &&
+      earlier->second.profile == transaction.profile &&
+      std::abs(earlier->second.deadline - state.deadline) < kRetryDeadlineTolerance) {
+    state.slo_deadline = std::min(state.slo_deadline, earlier->second.slo_deadline);
+  }
+  current_retry_budget_slot(now).arrivals += 1;
+  volume.arrived_units += transaction.units;
+  const int node = select_node(now, state);
+  if (node >= 0) volume.node_load_units += transaction.units * node_load(nodes_[to_index(node)]);
+  if (profile.ordered_by_key && transaction.has_key) key_queues_[transaction.key].transactions.push_back(id);
+  update_value_per_unit(now, state);
+  enqueue(id);
+  if (now == stalled_at_) {  // ranks all arrivals of the stall together
+    schedule_wakeup(now, now + settings_.clock_resolution);
+  } else if (shard_is_blocked(now, transaction.shard, false)) {
+    add_candidate(now, id);
+    dispatch_candidates(now);
+    if (!state.queued) shard_queues_[to_index(transaction.shard + 1)].ids.pop_back();
   } else {
-    serve(now, t.shard);
-  }
-}
-
-void Control::dispatch_finished(double now, int id, const DispatchResult& r) {
-  note_stall(now);
-  TransactionState& o = transactions_[at(id)];
-  // Danger: a reply that comes twice frees room and goes on as if its dispatch had ended twice. One dispatch
-  // is out at a time, so only the newest one's first reply counts.
-  if (o.in_flight == 0 || r.dispatch_number != o.dispatch_count - 1) return;
-  Node& node = node_at(r.node);
-  const bool honoured = r.outcome == Outcome::kSucceeded;
-  // Danger: a tenant whose transactions bring too little time makes nodes look bad to all. That they timed
-  // out or came late tells of their time, not of the node. May hide a bad node where nobody brings enough.
-  const bool hurried =
-      o.deadline - o.arrived_at < settings_.profiles[at(o.transaction.profile)].target_latency;
-  const bool too_soon = hurried && r.outcome == Outcome::kTimedOut;
-  const bool tells = now != stalled_at_ && !too_soon;
-  const bool never_ran = r.outcome == Outcome::kQueueFull || r.outcome == Outcome::kConnectFailed ||
-                         r.outcome == Outcome::kNotSent;
-  const bool may_still_run =
-      r.outcome == Outcome::kTimedOut || r.outcome == Outcome::kReset || r.outcome == Outcome::kCancelled;
-  o.in_flight -= 1;
+    process_shard(now, transaction.shard);
+  }
+}
+
+void Control::dispatch_finished(double now, int id, const DispatchResult& result) {
+  detect_stall(now);
+  TransactionState& state = transactions_[to_index(id)];
+  // A duplicate result must not free the node's capacity again. At most one dispatch is in flight at a time.
+  if (state.in_flight == 0 || result.dispatch_number != state.dispatch_count - 1) return;
+  Node& node = node_at(result.node);
+  const bool succeeded = result.outcome == Outcome::kSucceeded;
+  // A client may allow less time than the target latency. Its time-outs and late replies must not make nodes
+  // look bad to other clients.
+  const bool short_deadline = state.deadline - state.arrived_at <
+                              settings_.profiles[to_index(state.transaction.profile)].target_latency;
+  const bool timed_out_early = short_deadline && result.outcome == Outcome::kTimedOut;
+  const bool is_informative = now != stalled_at_ && !timed_out_early;
+  const bool not_executed = result.outcome == Outcome::kQueueFull ||
+                            result.outcome == Outcome::kConnectFailed || result.outcome == Outcome::kNotSent;
+  const bool may_be_executing = result.outcome == Outcome::kTimedOut || result.outcome == Outcome::kReset ||
+                                result.outcome == Outcome::kCancelled;
+  state.in_flight -= 1;
   node.in_flight -= 1;
-  node.units_in_flight -= o.transaction.units;
-  if (!may_still_run) node.idle_since = now;
-  Volume& v = volume_of(now, o.transaction);
-  if (r.outcome != Outcome::kConnectFailed && r.outcome != Outcome::kNotSent)
-    v.pending_limit_units -= std::exchange(o.pending_limit_units, 0);
-  if (tells && (honoured || r.outcome == Outcome::kTimedOut)) {
-    // A reply that was not waited for would have come later. Danger: one very heavy transaction, or a pause,
-    // looks like a long queue; so what one reply may say is capped, and good news counts more. The same for
-    // one that got lost among good ones, as on a connection that fell silent; a node that hangs answers none.
-    const double most = kMostJump * std::max(node.latency, kAimPart * min_target_latency_);
-    const double word = honoured ? r.elapsed : std::max(kMostJump * r.elapsed, node.latency);
-    const double seen = honoured || !node.last_result_bad ? std::min(word, most) : word;
-    const double gain = seen < node.latency ? kFallGain : kLatencyGain;
-    node.latency += gain * (seen - node.latency);
-    node.queueing_delay += gain * (seen - node.best_unit_latency * o.transaction.units - node.queueing_delay);
-  }
-  // Danger: each of hundreds of schedulers sends a node little, and all together drown it. So where even the
-  // longest pause is not enough, each bad reply doubles the gap between this scheduler's dispatches there,
-  // until all together would send one in each aim; only what was sent since the last change counts. A quick
-  // reply ends it. Acts in any crowd and at a slow or hung node; may hurt, for a gap, where answers get lost.
-  const bool bad = r.outcome == Outcome::kTimedOut || r.outcome == Outcome::kQueueFull ||
-                   (honoured && !hurried && now > o.slo_deadline);
-  if (tells && (bad || honoured)) bad_part_ += kAgainGain * ((bad ? 1 : 0) - bad_part_);
-  if (tells && now - r.elapsed >= node.min_spacing_changed_at) {
-    const double aim = kAimPart * min_target_latency_;
+  node.units_in_flight -= state.transaction.units;
+  if (!may_be_executing) node.idle_since = now;
+  Volume& volume = volume_for(now, state.transaction);
+  if (result.outcome != Outcome::kConnectFailed && result.outcome != Outcome::kNotSent)
+    volume.pending_limit_units -= std::exchange(state.pending_limit_units, 0);
+  if (is_informative && (succeeded || result.outcome == Outcome::kTimedOut)) {
+    // A timed-out dispatch would have taken longer than it was awaited. The value of one result is limited,
+    // so that a large transaction, a pause of the node or a lost connection does not pass for a long queue;
+    // only consecutive bad results, as from a node that hangs, count in full.
+    const double max_latency =
+        kMaxLatencyStep * std::max(node.latency, kDelayTargetFraction * min_target_latency_);
+    const double measured =
+        succeeded ? result.elapsed : std::max(kMaxLatencyStep * result.elapsed, node.latency);
+    const double latency = succeeded || !node.last_result_bad ? std::min(measured, max_latency) : measured;
+    const double gain = latency < node.latency ? kLatencyDecreaseGain : kLatencyGain;
+    node.latency += gain * (latency - node.latency);
+    node.queueing_delay +=
+        gain * (latency - node.best_unit_latency * state.transaction.units - node.queueing_delay);
+  }
+  const bool bad = result.outcome == Outcome::kTimedOut || result.outcome == Outcome::kQueueFull ||
+                   (succeeded && !short_deadline && now > state.slo_deadline);
+  if (is_informative && (bad || succeeded))
+    bad_result_ratio_ += kResultGain * ((bad ? 1 : 0) - bad_result_ratio_);
+  // Hundreds of schedulers that each send little can together overload a node. If results stay bad at the
+  // probe interval already, each bad one widens the spacing of this scheduler's dispatches to the node, until
+  // all schedulers together send about one per delay target. Only results of dispatches sent after the last
+  // change count. A fast reply ends the spacing.
+  if (is_informative && now - result.elapsed >= node.min_spacing_changed_at) {
+    const double delay_target = kDelayTargetFraction * min_target_latency_;
     if (bad) {
-      if (node.last_spacing >= kTrialEvery && (node.last_result_bad || bad_part_ > kBadPart)) {
-        const double grown = std::min(std::max(kGapGrows * node.min_spacing, node.last_spacing),
-                                      aim * settings_.scheduler_count);
-        node.min_spacing = grown * std::uniform_real_distribution(0.75, 1.25)(random_);
+      if (node.last_spacing >= kProbeInterval &&
+          (node.last_result_bad || bad_result_ratio_ > kSheddingThreshold)) {
+        const double spacing = std::min(std::max(kSpacingGrowth * node.min_spacing, node.last_spacing),
+                                        delay_target * settings_.scheduler_count);
+        node.min_spacing = spacing * std::uniform_real_distribution(kMinJitter, kMaxJitter)(random_);
         node.min_spacing_changed_at = now;
       }
-    } else if (honoured && r.elapsed - node.best_unit_latency * o.transaction.units < aim) {
+    } else if (succeeded &&
+               result.elapsed - node.best_unit_latency * state.transaction.units < delay_target) {
       node.min_spacing = 0;
     }
-    if (bad || honoured) node.last_result_bad = bad;
+    if (bad || succeeded) node.last_result_bad = bad;
   }
-  if (honoured) {
-    node.served_units += o.transaction.units;
-    if (tells) {
-      node.sample_time += r.elapsed;
-      node.sample_units += o.transaction.units;
+  if (succeeded) {
+    node.served_units += state.transaction.units;
+    if (is_informative) {
+      node.sample_time += result.elapsed;
+      node.sample_units += state.transaction.units;
       node.sample_count += 1;
     }
-    v.served_units += o.transaction.units;
-    if (!o.answered) v.client_timeouts[at(o.transaction.profile)] *= kStayed;
-  }
-  if (!too_soon && r.outcome != Outcome::kNotSent) {
-    node.success_rate += kAgainGain * ((honoured ? 1 : 0) - node.success_rate);
-    if (r.dispatch_number > 0)
-      node.retry_success_rate += kAgainGain * ((honoured ? 1 : 0) - node.retry_success_rate);
-  }
-  v.served_units_by_others += r.units_by_others;
-  v.usage_reported = v.usage_reported || r.units_by_others > 0 || r.usage_reported;
-  o.may_have_executed = o.may_have_executed || !never_ran;
-  const Profile& profile = settings_.profiles[at(o.transaction.profile)];
-  if (may_still_run && profile.ordered_by_key && o.transaction.has_key) {
-    KeyQueue& lane = key_queues_[o.transaction.key];
-    lane.quiet_until = std::max(lane.quiet_until, now + settings_.key_quiet_time);
-  }
-  if (r.transaction_finished || o.answered) {
-    o.answered = true;
-    close(id);
-  } else if (r.outcome == Outcome::kNotSent || now + answer_margin_ >= std::min(o.slo_deadline, o.deadline) ||
-             !may_retry(now, o, node) || !wants_retry(o, node)) {
-    answer(now, id);
+    volume.served_units += state.transaction.units;
+    if (!state.answered)
+      volume.client_timeouts[to_index(state.transaction.profile)] *= kClientTimeoutRecovery;
+  }
+  if (!timed_out_early && result.outcome != Outcome::kNotSent) {
+    node.success_rate += kResultGain * ((succeeded ? 1 : 0) - node.success_rate);
+    if (result.dispatch_number > 0)
+      node.retry_success_rate += kResultGain * ((succeeded ? 1 : 0) - node.retry_success_rate);
+  }
+  volume.served_units_by_others += result.units_by_others;
+  volume.usage_reported = volume.usage_reported || result.units_by_others > 0 || result.usage_reported;
+  state.may_have_executed = state.may_have_executed || !not_executed;
+  const Profile& profile = settings_.profiles[to_index(state.transaction.profile)];
+  if (may_be_executing && profile.ordered_by_key && state.transaction.has_key) {
+    KeyQueue& key_queue = key_queues_[state.transaction.key];
+    key_queue.quiet_until = std::max(key_queue.quiet_until, now + settings_.key_quiet_time);
+  }
+  if (result.transaction_finished || state.answered) {
+    state.answered = true;
+    release_if_finished(id);
+  } else if (result.outcome == Outcome::kNotSent ||
+             now + deadline_margin_ >= std::min(state.slo_deadline, state.deadline) ||
+             !retry_is_allowed(now, state, node) || !retry_is_promising(state, node)) {
+    reject_or_expire(now, id);
   } else {
-    o.not_before = now + kAgainPause * o.dispatch_count;
-    hold(id);
+    state.not_before = now + kRetryBackoff * state.dispatch_count;
+    enqueue(id);
   }
-  serve(now, node.shard);
+  process_shard(now, node.shard);
 }
 
 void Control::transaction_abandoned(double now, int id) {
-  TransactionState& o = transactions_[at(id)];
-  if (!o.answered) {
-    // Danger: clients that leave long before their cut-off and come again at once; the work sent for them is
-    // lost. What many of them waited bounds the contract time of their volume, nobody else's; each honoured
-    // one widens the bound, so that the few whose connections break anyway do not make it.
-    double& patience = volume_of(now, o.transaction).client_timeouts[at(o.transaction.profile)];
-    patience = std::min(patience, settings_.profiles[at(o.transaction.profile)].target_latency);
-    patience += kLatencyGain * (now - o.arrived_at - patience);
-    if (o.transaction.has_key)
-      unserved_[o.transaction.key] = {o.transaction.volume, o.transaction.profile, o.deadline,
-                                      o.slo_deadline};
-  }
-  o.answered = true;
-  const bool was_held = o.queued;
-  close(id);
-  // The bounds on what waits there stay as wide as they are: a client may leave with thousands at once.
-  if (was_held) std::erase(shard_queues_[at(o.transaction.shard + 1)].ids, id);
-  serve(now, o.transaction.shard);
+  TransactionState& state = transactions_[to_index(id)];
+  if (!state.answered) {
+    // Work for clients that leave early and retry is wasted, so the time they were seen to wait bounds the
+    // SLO deadlines of their volume and profile. Successes widen the bound again: a few broken connections do
+    // not lower it.
+    double& client_timeout =
+        volume_for(now, state.transaction).client_timeouts[to_index(state.transaction.profile)];
+    client_timeout =
+        std::min(client_timeout, settings_.profiles[to_index(state.transaction.profile)].target_latency);
+    client_timeout += kLatencyGain * (now - state.arrived_at - client_timeout);
+    if (state.transaction.has_key)
+      unserved_[state.transaction.key] = {state.transaction.volume, state.transaction.profile, state.deadline,
+                                          state.slo_deadline};
+  }
+  state.answered = true;
+  const bool was_queued = state.queued;
+  release_if_finished(id);
+  // The queue's bounds are not narrowed here, as one client may abandon thousands of transactions at once.
+  if (was_queued) std::erase(shard_queues_[to_index(state.transaction.shard + 1)].ids, id);
+  process_shard(now, state.transaction.shard);
 }
 
 void Control::timer_fired(double now) {
-  note_stall(now);
+  detect_stall(now);
   if (now >= next_list_request_at_) request_endpoint_list(now);
-  if (now >= second_at_) second_passed(now);
-  while (now >= second_at_) second_at_ += kPeriod;
-  serve(now);
+  if (now >= next_update_at_) run_periodic_update(now);
+  while (now >= next_update_at_) next_update_at_ += kUpdatePeriod;
+  process_all_queues(now);
 }
 
-// ---- The path of a transaction ----
+// ---- Queues ----
 
-// From top to bottom: what a held transaction must pass before it goes out.
-Control::Verdict Control::decide(double now, int id) {
-  TransactionState& o = transactions_[at(id)];
-  const Profile& profile = settings_.profiles[at(o.transaction.profile)];
-  if (now + answer_margin_ >= o.deadline) {
-    answer(now, id);
-    return Verdict::kGone;
-  }
-  if (now < o.not_before) return Verdict::kQueued;
+void Control::enqueue(int id) {
+  TransactionState& state = transactions_[to_index(id)];
+  state.queued = true;
+  state.queue_sequence = ++last_queue_sequence_;
+  ++queued_count_;
+  if (shard_queues_.size() <= to_index(state.transaction.shard + 1))
+    shard_queues_.resize(to_index(state.transaction.shard + 1) + 1);
+  ShardQueue& queue = shard_queues_[to_index(state.transaction.shard + 1)];
+  if (queue.ids.empty()) queue = ShardQueue{{}, kInfinity, kInfinity, kInfinity, 0, 0, false, false};
+  queue.ids.push_back(id);
+  extend_bounds(queue, state);
+}
+
+// The id stays in its shard queue until compact_queue().
+void Control::dequeue(TransactionState& state) {
+  queued_count_ -= std::exchange(state.queued, false) ? 1 : 0;
+}
+
+// Removes the ids of transactions that are no longer queued, and narrows the bounds to the remaining ones.
+void Control::compact_queue(int shard) {
+  ShardQueue& queue = shard_queues_[to_index(shard + 1)];
+  std::erase_if(queue.ids, [&](int id) { return !transactions_[to_index(id)].queued; });
+  queue = ShardQueue{std::move(queue.ids),           kInfinity, kInfinity, kInfinity, 0, 0, false,
+                     queue.concurrency_limit_reached};
+  for (int id : queue.ids) extend_bounds(queue, transactions_[to_index(id)]);
+}
+
+// Returns true if a pass over the shard's queue would change nothing: its node has no capacity for even the
+// smallest transaction, there are no retries, and nothing is late or near its deadline. Saves the cost of
+// scanning a long queue on each event. May return false needlessly, as the queue's bounds may be too wide.
+// Benefit fractions are as of the last pass; a full scan assumes the highest.
+bool Control::shard_is_blocked(double now, int shard, bool full_scan) {
+  if (shard < 0 || shard_queues_.size() <= to_index(shard + 1)) return false;
+  const ShardQueue& queue = shard_queues_[to_index(shard + 1)];
+  if (queue.ids.empty() || queue.has_retries || now + deadline_margin_ >= queue.earliest_deadline)
+    return false;
+  const int node_index =
+      to_index(shard) < current_node_of_shard_.size() ? current_node_of_shard_[to_index(shard)] : -1;
+  if (node_index < 0) return now < queue.earliest_slo_deadline;
+  Node& node = nodes_[to_index(node_index)];
+  if (now + kQueueingDelayWeight * std::max(node.queueing_delay, 0.0) +
+          node.best_unit_latency * queue.max_units >=
+      queue.earliest_slo_deadline)
+    return false;
+  smallest_queued_.transaction.units = queue.min_units;
+  smallest_queued_.benefit_fraction = full_scan ? 1 : queue.max_benefit_fraction;
+  if (has_capacity(now, node, smallest_queued_)) return false;
+  node.concurrency_limit_reached = node.concurrency_limit_reached || queue.concurrency_limit_reached;
+  return true;
+}
+
+// ---- Dispatch ----
+
+// Considers all queued transactions. Needed where time or an event at another shard has changed something;
+// for the direct effects of an event, process_shard() is enough.
+void Control::process_all_queues(double now) {
+  for (std::size_t i = 0; i < shard_queues_.size(); ++i)
+    collect_candidates(now, static_cast<int>(i) - 1, true);
+  dispatch_candidates(now);
+}
+
+// Considers the transactions queued for the shard, and new objects, which any node may take.
+void Control::process_shard(double now, int shard) {
+  collect_candidates(now, -1, false);
+  if (shard >= 0) collect_candidates(now, shard, false);
+  dispatch_candidates(now);
+}
 
-  // Its key: one at a time, in the order of landing, rested.
-  if (profile.ordered_by_key && o.transaction.has_key) {
-    const KeyQueue& lane = key_queues_[o.transaction.key];
-    if (lane.transactions.front() != id || (o.dispatch_count == 0 && now < lane.quiet_until))
+void Control::collect_candidates(double now, int shard, bool full_scan) {
+  if (shard_queues_.size() <= to_index(shard + 1) || shard_queues_[to_index(shard + 1)].ids.empty()) return;
+  if (shard_is_blocked(now, shard, full_scan)) return;
+  collected_shards_.push_back(shard);
+  shard_queues_[to_index(shard + 1)].concurrency_limit_reached = false;
+  for (int id : shard_queues_[to_index(shard + 1)].ids) add_candidate(now, id);
+}
+
+void Control::add_candidate(double now, int id) {
+  TransactionState& state = transactions_[to_index(id)];
+  state.value_per_unit = update_value_per_unit(now, state);
+  candidates_.push_back(
+      {state.value_per_unit / (kUrgencyOffset + std::max(state.slo_deadline - now, 0.0)), id});
+}
+
+// Runs one pass over the candidates, in order of priority. Answers those that can no longer meet their SLO
+// deadline.
+void Control::dispatch_candidates(double now) {
+  std::sort(candidates_.begin(), candidates_.end(), [&](auto& a, auto& b) {
+    return a.first != b.first ? a.first > b.first
+                              : transactions_[to_index(a.second)].queue_sequence <
+                                    transactions_[to_index(b.second)].queue_sequence;
+  });
+  ++pass_number_;
+  for (const auto& [priority, id] : candidates_) {
+    TransactionState& state = transactions_[to_index(id)];
+    const int node_index = state.transaction.shard < 0 ? -1 : select_node(now, state);
+    const bool node_is_full = node_index >= 0 && nodes_[to_index(node_index)].full_in_pass == pass_number_;
+    // Late transactions would delay others past their SLO deadlines. One that is late only by the forecast is
+    // sent after a probe interval without dispatches, to find out whether the forecast still holds.
+    const Node* node = node_index >= 0 ? &nodes_[to_index(node_index)] : nullptr;
+    const double latency = node ? kQueueingDelayWeight * std::max(node->queueing_delay, 0.0) +
+                                      node->best_unit_latency * state.transaction.units
+                                : 0;
+    const bool late = now + latency >= state.slo_deadline;
+    const Verdict verdict = node_is_full || (late && (now >= state.slo_deadline || node->in_flight > 0 ||
+                                                      now - node->last_dispatch_at < kProbeInterval))
+                                ? Verdict::kNodeFull
+                                : try_dispatch(now, id);
+    if (verdict == Verdict::kNodeFull && !late && node_index >= 0)
+      nodes_[to_index(node_index)].full_in_pass = pass_number_;
+    if (!state.queued || (!late && now + deadline_margin_ < state.deadline)) continue;
+    reject_or_expire(now, id);
+  }
+  candidates_.clear();
+  for (const int shard : collected_shards_) compact_queue(shard);
+  collected_shards_.clear();
+  const double next_event_at =
+      std::min(queued_count_ == 0 ? next_update_at_ : std::min(next_update_at_, now + kQueueScanInterval),
+               next_list_request_at_);
+  schedule_wakeup(now, std::max(next_event_at, now + kQueueScanInterval / 2));
+}
+
+// Applies the admission checks in turn and dispatches the transaction if it passes all of them.
+Control::Verdict Control::try_dispatch(double now, int id) {
+  TransactionState& state = transactions_[to_index(id)];
+  const Profile& profile = settings_.profiles[to_index(state.transaction.profile)];
+  if (now + deadline_margin_ >= state.deadline) {
+    reject_or_expire(now, id);
+    return Verdict::kDone;
+  }
+  if (now < state.not_before) return Verdict::kQueued;
+
+  // Per-key FIFO.
+  if (profile.ordered_by_key && state.transaction.has_key) {
+    const KeyQueue& key_queue = key_queues_[state.transaction.key];
+    if (key_queue.transactions.front() != id || (state.dispatch_count == 0 && now < key_queue.quiet_until))
       return Verdict::kQueued;
   }
 
-  // Its node: ready, and for a new object the next in rotation.
-  const int index = place(now, o);
-  if (index < 0) return Verdict::kQueued;
-  Node& node = nodes_[at(index)];
-  if (o.dispatch_count > 0 && !may_retry(now, o, node)) {
-    answer(now, id);
-    return Verdict::kGone;
+  // Node.
+  const int node_index = select_node(now, state);
+  if (node_index < 0) return Verdict::kQueued;
+  Node& node = nodes_[to_index(node_index)];
+  if (state.dispatch_count > 0 && !retry_is_allowed(now, state, node)) {
+    reject_or_expire(now, id);
+    return Verdict::kDone;
   }
 
-  // Its volume's slice of the limit, taken once.
-  Volume& v = volume_of(now, o.transaction);
-  const bool limited = o.transaction.plan >= 0 && settings_.plans[at(o.transaction.plan)].limit > 0;
-  if (limited && o.dispatch_count == 0 && v.limit_tokens < o.transaction.units) return Verdict::kQueued;
+  // The volume's limit; retries take no further tokens.
+  Volume& volume = volume_for(now, state.transaction);
+  const bool limited =
+      state.transaction.plan >= 0 && settings_.plans[to_index(state.transaction.plan)].limit > 0;
+  if (limited && state.dispatch_count == 0 && volume.limit_tokens < state.transaction.units)
+    return Verdict::kQueued;
 
-  // A node just back bears little.
-  if (warmup_room(now, node) < o.transaction.units) return Verdict::kQueued;
+  // Slow start.
+  if (warmup_allowance(now, node) < state.transaction.units) return Verdict::kQueued;
 
-  // The gear: a volume over its cap waits at a loaded node.
-  if (load(node) >= kThreshold && over_gear(v) && v.gear_tokens < 0) return Verdict::kQueued;
+  // Gears: a loaded node serves volumes up to their cap only.
+  if (node_load(node) >= kLoadedNodeThreshold && exceeds_gear_cap(volume) && volume.gear_tokens < 0)
+    return Verdict::kQueued;
 
-  // Danger: a surge everywhere is over before each node's gap has grown. While many replies of all nodes are
-  // bad, only a part of the work goes out, the better rather.
-  if (bad_part_ > kBadPart && o.random_draw > (1 - bad_part_) / (1 - kBadPart) * o.benefit_fraction)
+  // Load shedding: a surge at all nodes may be over before the spacing of each node has widened. The higher
+  // the bad-result ratio, the fewer transactions are sent, picked at random in favour of higher benefit.
+  if (bad_result_ratio_ > kSheddingThreshold &&
+      state.random_draw > (1 - bad_result_ratio_) / (1 - kSheddingThreshold) * state.benefit_fraction)
     return Verdict::kQueued;
 
-  // Our bound on units out.
-  if (!has_room(now, node, o)) {
-    node.bound_reached = true;
+  // Concurrency limit.
+  if (!has_capacity(now, node, state)) {
+    node.concurrency_limit_reached = true;
     return Verdict::kNodeFull;
   }
 
-  if (o.transaction.shard < 0) rotated(index);
-  // Danger: what waits for a connection, or in a network that is cut, comes to its node seconds later, all at
-  // once, while the store has filled again. So it does not fill up by what may be still to come. May hurt a
-  // volume whose nodes take longer to reply than its burst lasts.
-  if (limited && o.dispatch_count == 0) {
-    v.limit_tokens -= o.transaction.units;
-    v.pending_limit_units += o.pending_limit_units = o.transaction.units;
+  if (state.transaction.shard < 0) advance_rotation(node_index);
+  // Dispatches held up by a connection or a partitioned network may reach the node seconds later, all at once
+  // and together with a refilled bucket. Until they are known to have arrived, their units reduce the
+  // bucket's capacity.
+  if (limited && state.dispatch_count == 0) {
+    volume.limit_tokens -= state.transaction.units;
+    volume.pending_limit_units += state.pending_limit_units = state.transaction.units;
   }
-  v.gear_tokens = std::max(v.gear_tokens - o.transaction.units, -settings_.max_transaction_units);
-  if (v.reservation_tokens <= 0) v.units_beyond_reservation += o.transaction.units;
-  v.reservation_tokens =
-      std::max(v.reservation_tokens - o.transaction.units, -settings_.max_transaction_units);
+  volume.gear_tokens =
+      std::max(volume.gear_tokens - state.transaction.units, -settings_.max_transaction_units);
+  if (volume.reservation_tokens <= 0) volume.units_beyond_reservation += state.transaction.units;
+  volume.reservation_tokens =
+      std::max(volume.reservation_tokens - state.transaction.units, -settings_.max_transaction_units);
   if (is_warming_up(now, node)) {
-    node.warmup_sent.push_back({now, o.transaction.units});
-    node.warmup_tokens = std::max(node.warmup_tokens - o.transaction.units, -settings_.max_transaction_units);
+    node.warmup_sent.push_back({now, state.transaction.units});
+    node.warmup_tokens =
+        std::max(node.warmup_tokens - state.transaction.units, -settings_.max_transaction_units);
   }
   if (node.in_flight == 0) node.idle_since = now;
   node.last_spacing = node.last_dispatch_at > 0 ? now - node.last_dispatch_at : 0;
   node.last_dispatch_at = now;
   node.in_flight += 1;
-  node.units_in_flight += o.transaction.units;
-  if (o.dispatch_count > 0) retry_budget_slot(now).retries += 1;
-  if (!o.may_have_executed) {  // the group as it is now: a node may hold another shard later
-    o.dedup_until = now + profile.dedup_window - answer_margin_;
-    o.first_zone = node.zone;
-    o.first_shard = node.shard;
-  }
-  o.dispatch_count += 1;
-  o.in_flight += 1;
-  release(o);
-  // Danger: queues full of work whose contract time is past, so that nothing is in time. A node drops what
-  // has timed out unbegun. Acts in any crowd; as answers a little late earn something too, the fewer replies
-  // are bad the longer they are waited for, up to one tightest contract time more.
-  const double calm = std::max(1 - bad_part_ / kBadPart, 0.0);
-  double until = std::min(o.slo_deadline + calm * min_target_latency_, o.deadline);
-  // Danger: a repeat that waits for its connection leaves when nobody knows it for a repeat any more.
-  if (o.may_have_executed && profile.idempotency == Idempotency::kDeduplicated)
-    until = std::min(until, o.dedup_until);
-  actions_.dispatch(id, index, until - now);
-  return Verdict::kGone;
-}
-
-// Looks at all that is held. What one event can change is looked at at once, see serve(now, shard); what time
-// or another shard's event changes, at the next sweep.
-void Control::serve(double now) {
-  for (std::size_t i = 0; i < shard_queues_.size(); ++i) take(now, static_cast<int>(i) - 1, true);
-  look(now);
-}
-
-// After an event at a shard: what is held for it, and new objects, which may go to its node.
-void Control::serve(double now, int shard) {
-  take(now, -1, false);
-  if (shard >= 0) take(now, shard, false);
-  look(now);
-}
-
-void Control::hold(int id) {
-  TransactionState& o = transactions_[at(id)];
-  o.queued = true;
-  o.queue_sequence = ++last_queue_sequence_;
-  ++queued_count_;
-  if (shard_queues_.size() <= at(o.transaction.shard + 1))
-    shard_queues_.resize(at(o.transaction.shard + 1) + 1);
-  ShardQueue& w = shard_queues_[at(o.transaction.shard + 1)];
-  if (w.ids.empty()) w = ShardQueue{{}, kNever, kNever, kNever, 0, 0, false, false};
-  w.ids.push_back(id);
-  widen(w, o);
-}
-
-void Control::release(TransactionState& o) { queued_count_ -= std::exchange(o.queued, false) ? 1 : 0; }
-
-// Danger: a long queue is looked at with every event, and this scheduler drowns in its backlog. While a
-// shard's node has no room even for the least of what waits for it, none may go again, and none is late or
-// near its cut-off, a look would change nothing. May hurt where the bounds on what waits are too wide: it is
-// looked at. What part of its benefit each earns is taken as at the last look, but by a sweep.
-bool Control::stuck(double now, int shard, bool sweep) {
-  if (shard < 0 || shard_queues_.size() <= at(shard + 1)) return false;
-  const ShardQueue& w = shard_queues_[at(shard + 1)];
-  if (w.ids.empty() || w.has_retries || now + answer_margin_ >= w.earliest_deadline) return false;
-  const int index = at(shard) < newest_.size() ? newest_[at(shard)] : -1;
-  if (index < 0) return now < w.earliest_slo_deadline;
-  Node& node = nodes_[at(index)];
-  if (now + kWaitMargin * std::max(node.queueing_delay, 0.0) + node.best_unit_latency * w.max_units >=
-      w.earliest_slo_deadline)
-    return false;
-  smallest_.transaction.units = w.min_units;
-  smallest_.benefit_fraction = sweep ? 1 : w.max_benefit_fraction;
-  if (has_room(now, node, smallest_)) return false;
-  node.bound_reached = node.bound_reached || w.bound_reached;
-  return true;
-}
-
-void Control::take(double now, int shard, bool sweep) {
-  if (shard_queues_.size() <= at(shard + 1) || shard_queues_[at(shard + 1)].ids.empty()) return;
-  if (stuck(now, shard, sweep)) return;
-  taken_.push_back(shard);
-  shard_queues_[at(shard + 1)].bound_reached = false;
-  for (int id : shard_queues_[at(shard + 1)].ids) consider(now, id);
-}
-
-void Control::consider(double now, int id) {
-  TransactionState& o = transactions_[at(id)];
-  o.value_per_unit = value_per_unit(now, o);
-  order_.push_back({o.value_per_unit / (kSlackUnit + std::max(o.slo_deadline - now, 0.0)), id});
-}
-
-// The most worth first; what can no longer keep its contract time is answered.
-void Control::look(double now) {
-  std::sort(order_.begin(), order_.end(), [&](auto& a, auto& b) {
-    return a.first != b.first
-               ? a.first > b.first
-               : transactions_[at(a.second)].queue_sequence < transactions_[at(b.second)].queue_sequence;
-  });
-  ++look_;
-  for (const auto& [score, id] : order_) {
-    TransactionState& o = transactions_[at(id)];
-    const int index = o.transaction.shard < 0 ? -1 : place(now, o);
-    const bool full = index >= 0 && nodes_[at(index)].full_in_pass == look_;
-    // Danger: work that can no longer keep its contract time makes the next miss theirs. While it seems late
-    // only it goes to a node that was sent nothing for a while, as a trial that finds out when an old latency
-    // no longer holds.
-    const Node* node = index >= 0 ? &nodes_[at(index)] : nullptr;
-    const double latency = node ? kWaitMargin * std::max(node->queueing_delay, 0.0) +
-                                      node->best_unit_latency * o.transaction.units
-                                : 0;
-    const bool late = now + latency >= o.slo_deadline;
-    const Verdict verdict = full || (late && (now >= o.slo_deadline || node->in_flight > 0 ||
-                                              now - node->last_dispatch_at < kTrialEvery))
-                                ? Verdict::kNodeFull
-                                : decide(now, id);
-    if (verdict == Verdict::kNodeFull && !late && index >= 0) nodes_[at(index)].full_in_pass = look_;
-    if (!o.queued || (!late && now + answer_margin_ < o.deadline)) continue;
-    answer(now, id);
-  }
-  order_.clear();
-  for (const int shard : taken_) tidy(shard);
-  taken_.clear();
-  const double wanted =
-      std::min(queued_count_ == 0 ? second_at_ : std::min(second_at_, now + kSweep), next_list_request_at_);
-  wake(now, std::max(wanted, now + kSweep / 2));
-}
-
-// Takes out what is not held any more, and narrows the bounds to what is.
-void Control::tidy(int shard) {
-  ShardQueue& w = shard_queues_[at(shard + 1)];
-  std::erase_if(w.ids, [&](int id) { return !transactions_[at(id)].queued; });
-  w = ShardQueue{std::move(w.ids), kNever, kNever, kNever, 0, 0, false, w.bound_reached};
-  for (int id : w.ids) widen(w, transactions_[at(id)]);
-}
-
-void Control::wake(double now, double time) {
-  // Danger: a wake-up that comes a rounding early looks as if it were still to come, and none follows it.
-  if (next_wake_ > now + kClockSlack && time >= next_wake_) return;
-  next_wake_ = time;
-  actions_.wake_at(time);
-}
-
-// Danger: this scheduler stood still, and finds all that came meanwhile at once. Its contract time has been
-// running, and what replies took says nothing of their nodes. Known by a wake-up that is long overdue; may
-// hurt where clients in a hurry come just then.
-void Control::note_stall(double now) {
-  if (now == stalled_at_ || now < next_wake_ + kStallAfter) return;
-  stalled_at_ = now;
-  stalled_for_ = now - next_wake_;
-}
-
-// What a dispatch now would earn for each unit.
-double Control::value_per_unit(double now, TransactionState& o) {
-  const Profile& profile = settings_.profiles[at(o.transaction.profile)];
-  if (o.transaction.plan < 0) return profile.benefit;
-  const Plan& plan = settings_.plans[at(o.transaction.plan)];
-  const Volume& v = volume_of(now, o.transaction);
-  const double over = v.units_beyond_reservation / std::max(plan.weight * unit_share_, 1e-9);
-  const double part = std::max(settings_.spare_benefit_factor, settings_.share_benefit_factor / (1 + over));
-  o.benefit_fraction = (v.reservation_tokens > 0 ? 1 : part) * profile.benefit / best_benefit_;
-  return o.benefit_fraction * best_benefit_ * plan.benefit_factor;
-}
-
-// The final answer for a transaction that is not to be served. At once, never held back.
-void Control::answer(double now, int id) {
-  TransactionState& o = transactions_[at(id)];
-  const Profile& profile = settings_.profiles[at(o.transaction.profile)];
-  const bool labelled =
+  node.units_in_flight += state.transaction.units;
+  if (state.dispatch_count > 0) current_retry_budget_slot(now).retries += 1;
+  if (!state.may_have_executed) {  // copies zone and shard, as the node may be given another shard later
+    state.dedup_until = now + profile.dedup_window - deadline_margin_;
+    state.first_zone = node.zone;
+    state.first_shard = node.shard;
+  }
+  state.dispatch_count += 1;
+  state.in_flight += 1;
+  dequeue(state);
+  // Nodes drop transactions that time out in their queues, so the time-out keeps late work from delaying the
+  // rest. Late replies still earn part of the benefit: the fewer results are bad, the longer past the SLO
+  // deadline they are awaited, up to the tightest target latency.
+  const double health = std::max(1 - bad_result_ratio_ / kSheddingThreshold, 0.0);
+  double times_out_at = std::min(state.slo_deadline + health * min_target_latency_, state.deadline);
+  // A retry must not wait for a connection until after the deduplication window.
+  if (state.may_have_executed && profile.idempotency == Idempotency::kDeduplicated)
+    times_out_at = std::min(times_out_at, state.dedup_until);
+  actions_.dispatch(id, node_index, times_out_at - now);
+  return Verdict::kDone;
+}
+
+// Returns the benefit per unit of a dispatch now, and updates the benefit fraction.
+double Control::update_value_per_unit(double now, TransactionState& state) {
+  const Profile& profile = settings_.profiles[to_index(state.transaction.profile)];
+  if (state.transaction.plan < 0) return profile.benefit;
+  const Plan& plan = settings_.plans[to_index(state.transaction.plan)];
+  const Volume& volume = volume_for(now, state.transaction);
+  const double shares_used =
+      volume.units_beyond_reservation / std::max(plan.weight * usual_rate_per_weight_, 1e-9);
+  const double factor_beyond_reservation =
+      std::max(settings_.spare_benefit_factor, settings_.share_benefit_factor / (1 + shares_used));
+  state.benefit_fraction =
+      (volume.reservation_tokens > 0 ? 1 : factor_beyond_reservation) * profile.benefit / max_benefit_;
+  return state.benefit_fraction * max_benefit_ * plan.benefit_factor;
+}
+
+// ---- Answers ----
+
+// Answers a transaction that is not served: rejects it if the client may safely retry, else expires it.
+void Control::reject_or_expire(double now, int id) {
+  TransactionState& state = transactions_[to_index(id)];
+  const Profile& profile = settings_.profiles[to_index(state.transaction.profile)];
+  const bool deduplicated_by_fleet =
       profile.idempotency == Idempotency::kDeduplicated && profile.dedup_scope == DedupScope::kFleet;
-  const bool harmless = (!o.may_have_executed && o.in_flight == 0) ||
-                        profile.idempotency == Idempotency::kIdempotent || labelled;
-  release(o);
-  o.answered = true;
-  if (o.transaction.has_key)
-    unserved_[o.transaction.key] = {o.transaction.volume, o.transaction.profile, o.deadline, o.slo_deadline};
-  if (now >= o.deadline || !harmless) {
+  const bool safe_to_retry = (!state.may_have_executed && state.in_flight == 0) ||
+                             profile.idempotency == Idempotency::kIdempotent || deduplicated_by_fleet;
+  dequeue(state);
+  state.answered = true;
+  if (state.transaction.has_key)
+    unserved_[state.transaction.key] = {state.transaction.volume, state.transaction.profile, state.deadline,
+                                        state.slo_deadline};
+  if (now >= state.deadline || !safe_to_retry) {
     actions_.expire(id);
   } else {
     actions_.reject(id, std::min(settings_.max_retry_after, profile.target_latency));
   }
-  close(id);
+  release_if_finished(id);
 }
 
-// Frees what a transaction holds once it is over and none of its dispatches is out.
-void Control::close(int id) {
-  TransactionState& o = transactions_[at(id)];
-  release(o);
-  if (o.in_flight > 0 || !o.in_use) return;
-  if (settings_.profiles[at(o.transaction.profile)].ordered_by_key && o.transaction.has_key) {
-    auto& line = key_queues_[o.transaction.key].transactions;  // nearly always its first
-    line.erase(std::find(line.begin(), line.end(), id));
+// Releases an answered transaction once no dispatch of it is in flight.
+void Control::release_if_finished(int id) {
+  TransactionState& state = transactions_[to_index(id)];
+  dequeue(state);
+  if (state.in_flight > 0 || !state.in_use) return;
+  if (settings_.profiles[to_index(state.transaction.profile)].ordered_by_key && state.transaction.has_key) {
+    auto& key_queue = key_queues_[state.transaction.key].transactions;
+    key_queue.erase(std::find(key_queue.begin(), key_queue.end(), id));  // nearly always the first
   }
-  if (o.pending_limit_units > 0)
-    volumes_[at(o.transaction.volume)].pending_limit_units -= std::exchange(o.pending_limit_units, 0);
-  o.in_use = false;
+  if (state.pending_limit_units > 0)
+    volumes_[to_index(state.transaction.volume)].pending_limit_units -=
+        std::exchange(state.pending_limit_units, 0);
+  state.in_use = false;
   actions_.release(id);
 }
 
-// ---- Further dispatches ----
+// ---- Retries ----
 
-// Follows how many of the recent further dispatches at the node succeeded.
-bool Control::wants_retry(const TransactionState& o, const Node& node) {
-  if (o.dispatch_count >= settings_.max_dispatches) return false;
-  const double chance = std::max(kAgainFloor, std::min(1.0, 2 * node.retry_success_rate));
-  return std::uniform_real_distribution(0.0, 1.0)(random_) < chance;
+// Draws at random, by the success rate of recent retries at the node.
+bool Control::retry_is_promising(const TransactionState& state, const Node& node) {
+  if (state.dispatch_count >= settings_.max_dispatches) return false;
+  const double probability = std::max(kMinRetryProbability, std::min(1.0, 2 * node.retry_success_rate));
+  return std::uniform_real_distribution(0.0, 1.0)(random_) < probability;
 }
 
-bool Control::may_retry(double now, const TransactionState& o, const Node& node) {
+// Checks the retry budget, and that a repeat at the node has no further effect.
+bool Control::retry_is_allowed(double now, const TransactionState& state, const Node& node) {
   if (settings_.has_retry_budget) {
-    double landed = 0;
-    double again = 1;
-    const RetryBudgetSlot* newest = &retry_budget_slot(now);
-    for (const RetryBudgetSlot& b : retry_budget_) {
-      again += b.retries;
-      if (b.slot + kBudgetSlots > newest->slot) landed += b.arrivals;  // parts wholly inside the window
+    double arrivals = 0;
+    double retries = 1;
+    const RetryBudgetSlot* current = &current_retry_budget_slot(now);
+    for (const RetryBudgetSlot& slot : retry_budget_) {
+      retries += slot.retries;
+      if (slot.slot + kRetryBudgetSlots > current->slot) arrivals += slot.arrivals;  // wholly in the window
     }
-    if (again > settings_.retry_budget_base + settings_.retry_budget_ratio * landed) return false;
+    if (retries > settings_.retry_budget_base + settings_.retry_budget_ratio * arrivals) return false;
   }
-  if (!o.may_have_executed) return true;
-  const Profile& profile = settings_.profiles[at(o.transaction.profile)];
+  if (!state.may_have_executed) return true;
+  const Profile& profile = settings_.profiles[to_index(state.transaction.profile)];
   if (profile.idempotency == Idempotency::kIdempotent) return true;
-  if (profile.idempotency == Idempotency::kNonIdempotent || now >= o.dedup_until) return false;
+  if (profile.idempotency == Idempotency::kNonIdempotent || now >= state.dedup_until) return false;
   return profile.dedup_scope == DedupScope::kFleet ||
-         (profile.dedup_scope == DedupScope::kZone && o.first_zone == node.zone) ||
-         (profile.dedup_scope == DedupScope::kShard && o.first_shard == node.shard);
+         (profile.dedup_scope == DedupScope::kZone && state.first_zone == node.zone) ||
+         (profile.dedup_scope == DedupScope::kShard && state.first_shard == node.shard);
 }
 
-RetryBudgetSlot& Control::retry_budget_slot(double now) {
-  const auto slot = settings_.has_retry_budget
-                        ? static_cast<std::int64_t>(now / (settings_.retry_budget_window / kBudgetSlots))
-                        : 0;
-  for (RetryBudgetSlot& b : retry_budget_) {
-    if (b.slot + kBudgetSlots < slot) b = RetryBudgetSlot{};
+// Clears expired slots and returns that of `now`.
+RetryBudgetSlot& Control::current_retry_budget_slot(double now) {
+  const auto number =
+      settings_.has_retry_budget
+          ? static_cast<std::int64_t>(now / (settings_.retry_budget_window / kRetryBudgetSlots))
+          : 0;
+  for (RetryBudgetSlot& slot : retry_budget_) {
+    if (slot.slot + kRetryBudgetSlots < number) slot = RetryBudgetSlot{};
   }
-  RetryBudgetSlot& b = retry_budget_[static_cast<std::size_t>(slot % (kBudgetSlots + 1))];
-  b.slot = slot;
-  return b;
+  RetryBudgetSlot& current = retry_budget_[static_cast<std::size_t>(number % (kRetryBudgetSlots + 1))];
+  current.slot = number;
+  return current;
 }
 
 // ---- Nodes ----
 
 Node& Control::node_at(int index) {
-  if (nodes_.size() <= at(index)) nodes_.resize(at(index) + 1);
-  return nodes_[at(index)];
+  if (nodes_.size() <= to_index(index)) nodes_.resize(to_index(index) + 1);
+  return nodes_[to_index(index)];
 }
 
-// The node for a transaction, or -1. A shard's newest ready node; for a new object, see rotate().
-int Control::place(double now, const TransactionState& o) {
-  if (o.transaction.shard < 0) return rotate(now, o);
-  return at(o.transaction.shard) < newest_.size() ? newest_[at(o.transaction.shard)] : -1;
+// Returns the current node of the transaction's shard, for a new object one picked by rotation, or -1.
+int Control::select_node(double now, const TransactionState& state) {
+  if (state.transaction.shard < 0) return pick_by_rotation(now, state);
+  return to_index(state.transaction.shard) < current_node_of_shard_.size()
+             ? current_node_of_shard_[to_index(state.transaction.shard)]
+             : -1;
 }
 
-// Weighted rotation for new objects over the ready nodes with room. The weight is what a node has been seen
-// to manage: units a second of latency, times the part of its replies that were good.
-int Control::rotate(double now, const TransactionState& o) {
-  double known = 0;
-  int heard = 0;
+// Smooth weighted round robin over the ready nodes with capacity. The weight is the inverse of the latency
+// per unit, times the success rate. Returns -1 if there is no such node.
+int Control::pick_by_rotation(double now, const TransactionState& state) {
+  double rate_sum = 0;
+  int sampled_nodes = 0;
   for (const Node& node : nodes_) {
     if (node.state == NodeState::kReady && node.samples > 0) {
-      known += 1 / unit_time(node);
-      ++heard;
+      rate_sum += 1 / current_unit_latency(node);
+      ++sampled_nodes;
     }
   }
-  const double usual = heard > 0 ? known / heard : 1;
+  const double mean_rate = sampled_nodes > 0 ? rate_sum / sampled_nodes : 1;
   int best = -1;
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     Node& node = nodes_[i];
     node.rotation_weight = 0;
-    if (node.state != NodeState::kReady || !has_room(now, node, o) ||
-        warmup_room(now, node) < o.transaction.units) {
+    if (node.state != NodeState::kReady || !has_capacity(now, node, state) ||
+        warmup_allowance(now, node) < state.transaction.units) {
       continue;
     }
-    node.rotation_weight =
-        (node.samples > 0 ? 1 / unit_time(node) : usual) * std::max(node.success_rate, kAgainFloor);
+    node.rotation_weight = (node.samples > 0 ? 1 / current_unit_latency(node) : mean_rate) *
+                           std::max(node.success_rate, kMinRotationHealth);
     if (best < 0 || node.rotation_credit + node.rotation_weight >
-                        nodes_[at(best)].rotation_credit + nodes_[at(best)].rotation_weight) {
+                        nodes_[to_index(best)].rotation_credit + nodes_[to_index(best)].rotation_weight) {
       best = static_cast<int>(i);
     }
   }
   return best;
 }
 
-// Moves the rotation on after its pick was used.
-void Control::rotated(int picked) {
-  double sum = 0;
+// Updates the credits after a dispatch to the picked node, with the weights of the last pick_by_rotation().
+void Control::advance_rotation(int picked) {
+  double weight_sum = 0;
   for (Node& node : nodes_) {
     node.rotation_credit += node.rotation_weight;
-    sum += node.rotation_weight;
+    weight_sum += node.rotation_weight;
   }
-  nodes_[at(picked)].rotation_credit -= sum;
+  nodes_[to_index(picked)].rotation_credit -= weight_sum;
 }
 
-// Recent latency for each unit: low among the means over the time of a flush pause, which thus stays out.
-double Control::unit_time(const Node& node) const {
+// Lower quartile of the recent samples, in seconds per unit; leaves out samples raised by a flush pause.
+double Control::current_unit_latency(const Node& node) const {
   auto sorted = node.recent_unit_latency;
-  const int count = std::min(node.samples, kFlushPeriods);
+  const int count = std::min(node.samples, kLatencySamples);
   std::nth_element(sorted.begin(), sorted.begin() + count / 4, sorted.begin() + count);
-  return std::max(sorted[at(count / 4)], 1e-6);
-}
-
-double Control::load(const Node& node) const {
-  return node.samples > 0 ? 1 - node.best_unit_latency / unit_time(node) : 0;
-}
-
-bool Control::has_room(double now, const Node& node, const TransactionState& o) const {
-  if (node.in_flight >= kMostOut) return false;
-  // Danger: the least number from each of many hosts is more than a node serves in the contract time. So
-  // while the recent wait is over the bound's own aim, the least falls steeply; under one, a pause follows
-  // each reply. Acts on any crowd: many hosts, a slow or a small node. May hurt where a few very long
-  // transactions raise the latency.
-  // Danger: cheap work that goes out while none better is at hand here stands before other hosts' better
-  // work. So work beyond the reservation has a part of the bound only; may hurt where no host has better.
-  const double part = std::sqrt(o.benefit_fraction);
-  if (now - node.last_dispatch_at < node.min_spacing / o.benefit_fraction) return false;
-  const double aim = part * kAimPart * min_target_latency_;
-  if (node.units_in_flight + o.transaction.units <= node.service_rate * aim) return true;
-  const double least =
-      part * kLeastOut * std::pow(std::min(1.0, aim / std::max(node.queueing_delay, 1e-6)), kLeastFall);
-  if (least >= 1) return node.in_flight < static_cast<int>(least);
+  return std::max(sorted[to_index(count / 4)], 1e-6);
+}
+
+// Load in [0, 1): the fraction of the current latency that exceeds the best.
+double Control::node_load(const Node& node) const {
+  return node.samples > 0 ? 1 - node.best_unit_latency / current_unit_latency(node) : 0;
+}
+
+// Whether the node's concurrency limit admits the transaction.
+bool Control::has_capacity(double now, const Node& node, const TransactionState& state) const {
+  if (node.in_flight >= kMaxConcurrency) return false;
+  // Transactions beyond the reservation may use only part of the limit, to leave room for more beneficial
+  // ones of other schedulers.
+  const double limit_fraction = std::sqrt(state.benefit_fraction);
+  if (now - node.last_dispatch_at < node.min_spacing / state.benefit_fraction) return false;
+  const double delay_target = limit_fraction * kDelayTargetFraction * min_target_latency_;
+  if (node.units_in_flight + state.transaction.units <= node.service_rate * delay_target) return true;
+  // Even the minimum is too much if hundreds of schedulers use it. While the queueing delay is above target,
+  // it falls steeply; below one dispatch, it becomes a pause between dispatches.
+  const double min_concurrency = limit_fraction * kMinConcurrency *
+                                 std::pow(std::min(1.0, delay_target / std::max(node.queueing_delay, 1e-6)),
+                                          kConcurrencyBackoffExponent);
+  if (min_concurrency >= 1) return node.in_flight < static_cast<int>(min_concurrency);
   return node.in_flight == 0 &&
-         now - node.idle_since >= std::min(node.latency * (1 / least - 1), kTrialEvery);
+         now - node.idle_since >= std::min(node.latency * (1 / min_concurrency - 1), kProbeInterval);
 }
 
 bool Control::is_warming_up(double now, const Node& node) const {
   return settings_.has_slow_start && node.started_at > 0 && now < node.started_at + settings_.warmup_time;
 }
 
-// Danger: all schedulers together push a node over that has just come up. What each was served of the shard
-// before adds up to no more than the node managed, and at its age it manages at least a part that grows
-// evenly. So each sends that part of its own usual rate, times a part of the stated multiple; with random
-// starts under one unit, so that none goes at once and the first ones do not meet. Whoever has no usual rate
-// there keeps to what these leave of the safe number of units: while an even part of it would not hold the
-// largest transaction, the schedulers take turns by number, one in a fall time.
-double Control::warmup_room(double now, Node& node) {
-  if (!is_warming_up(now, node)) return kNever;
-  const double share = std::max(settings_.initial_capacity_share, 0.01);
-  const double age = std::max(now - node.started_at, 0.0) / settings_.warmup_time;
-  // Danger: clocks of hosts differ, and a node may seem to come up later than now. Its store begins once for
-  // each process, else each look fills it by chance again.
+// Slow start. Returns the units that may be sent to the node now; infinity if it is not warming up.
+//
+// The schedulers must not overload a started node together. Its capacity grows evenly from the initial share.
+// One part is allotted by usual rate: the shard's usual rates of all schedulers add up to what its node
+// served, so each scheduler may send its own usual rate, scaled to the node's age. The rest, for schedulers
+// without a usual rate, is a number of safe units per overload window. Where an even share of them is less
+// than the largest transaction, the schedulers take turns in the order of their indices.
+double Control::warmup_allowance(double now, Node& node) {
+  if (!is_warming_up(now, node)) return kInfinity;
+  const double initial_share = std::max(settings_.initial_capacity_share, kMinInitialCapacityShare);
+  // Clocks differ between hosts: a node's start may lie in the future.
+  const double progress = std::max(now - node.started_at, 0.0) / settings_.warmup_time;
+  // Starts each process with a random fraction of one unit, so that the schedulers' first dispatches spread.
   if (node.warmup_started_at != node.started_at) {
     node.warmup_started_at = node.started_at;
     node.warmup_refilled_at = now;
     node.warmup_tokens = std::uniform_real_distribution(0.0, 1.0)(random_);
   }
-  const double usual = at(node.shard) < managed_.size() ? managed_[at(node.shard)] : 0;
-  const double part = kColdPart * settings_.overload_multiple * (share + (1 - share) * age);
-  node.warmup_tokens = std::min(node.warmup_tokens + (now - node.warmup_refilled_at) * part * usual,
-                                settings_.max_transaction_units);
+  const double usual_rate =
+      to_index(node.shard) < shard_service_rate_.size() ? shard_service_rate_[to_index(node.shard)] : 0;
+  const double rate_factor =
+      kWarmupUsualFraction * settings_.overload_multiple * (initial_share + (1 - initial_share) * progress);
+  node.warmup_tokens =
+      std::min(node.warmup_tokens + (now - node.warmup_refilled_at) * rate_factor * usual_rate,
+               settings_.max_transaction_units);
   node.warmup_refilled_at = now;
-  std::erase_if(node.warmup_sent,
-                [&](const SentUnits& s) { return s.at < now - settings_.overload_window * kColdSpan; });
-  double sent = 0;
-  for (const SentUnits& s : node.warmup_sent) sent += s.units;
-  // Danger: a scheduler that is killed and back at once has spent its part and forgotten it. So for one fall
-  // time it sends none of the safe number to what came up before it. May hurt a first second after a start.
-  if (node.started_at <= started_ && now < started_ + settings_.overload_window * kColdSpan)
+  std::erase_if(node.warmup_sent, [&](const SentUnits& sent) {
+    return sent.at < now - settings_.overload_window * kOverloadWindowMargin;
+  });
+  double units_sent = 0;
+  for (const SentUnits& sent : node.warmup_sent) units_sent += sent.units;
+  // A restarted scheduler does not know what it sent before, so it sends no safe units for one overload
+  // window to nodes that started before it.
+  if (node.started_at <= started_at_ && now < started_at_ + settings_.overload_window * kOverloadWindowMargin)
     return node.warmup_tokens;
   const int schedulers = std::max(settings_.scheduler_count, 1);
-  const double turn_time = kTurnTime * settings_.overload_window;
+  const double turn_time = kTurnLength * settings_.overload_window;
   const double turn = std::floor(std::max(now - node.started_at, 0.0) / turn_time);
-  const double aged = std::min(1.0, turn * turn_time / settings_.warmup_time);
-  const double safe = (1 - kColdPart) * settings_.safe_start_units * (share + (1 - share) * aged) / share;
-  if (safe / schedulers >= settings_.max_transaction_units)
-    return std::max(safe / schedulers - sent, node.warmup_tokens);
-  const bool mine = static_cast<int>(turn) % schedulers == settings_.scheduler_index % schedulers;
-  const bool open = now - node.started_at - turn * turn_time < kTurnPart * settings_.overload_window;
-  return std::max(mine && open ? safe - sent : 0, node.warmup_tokens);
+  const double turn_progress = std::min(1.0, turn * turn_time / settings_.warmup_time);
+  const double safe_units = (1 - kWarmupUsualFraction) * settings_.safe_start_units *
+                            (initial_share + (1 - initial_share) * turn_progress) / initial_share;
+  if (safe_units / schedulers >= settings_.max_transaction_units)
+    return std::max(safe_units / schedulers - units_sent, node.warmup_tokens);
+  const bool own_turn = static_cast<int>(turn) % schedulers == settings_.scheduler_index % schedulers;
+  const bool send_phase =
+      now - node.started_at - turn * turn_time < kTurnSendPhase * settings_.overload_window;
+  return std::max(own_turn && send_phase ? safe_units - units_sent : 0, node.warmup_tokens);
 }
 
 // ---- Volumes ----
 
-Volume& Control::volume_of(double now, const Transaction& t) {
-  if (volumes_.size() <= at(t.volume)) volumes_.resize(at(t.volume) + 1);
-  Volume& v = volumes_[at(t.volume)];
-  const int most = std::max(settings_.scheduler_count, 1);
-  const int hosts = t.volume_schedulers > 0 ? std::min(t.volume_schedulers, most) : most;
-  if (!v.in_use) {
-    v.in_use = true;
-    v.plan = t.plan;
-    v.scheduler_count = hosts;
-    v.client_timeouts.assign(settings_.profiles.size(), kNever);
-    // Danger: a scheduler that died has spent its slice of the limit and forgotten it. So every slice is
-    // empty at this scheduler's start. May hurt in the first second of a day.
-    v.refilled_at = started_;
-  }
-  v.scheduler_count = std::max(v.scheduler_count, hosts);
-  if (v.plan < 0 || now <= v.refilled_at) return v;
-  const Plan& plan = settings_.plans[at(v.plan)];
-  const double passed = now - v.refilled_at;
-  const double share = reported_share(v);
-  v.refilled_at = now;
-  v.limit_tokens = std::min(v.limit_tokens + passed * plan.limit / v.scheduler_count,
-                            plan.burst / v.scheduler_count - v.pending_limit_units);
-  const double reserve = plan.reservation * share;
-  v.reservation_tokens =
-      std::min(v.reservation_tokens + passed * reserve, reserve * kPeriod + settings_.max_transaction_units);
-  const double pace = std::max(cap(v, v.gear) * share, plan.reservation);
-  v.gear_tokens = std::min(v.gear_tokens + passed * pace, settings_.max_transaction_units);
-  return v;
-}
-
-double Control::reported_share(const Volume& v) const {
-  const double sum = v.served_units + v.served_units_by_others;
-  return v.usage_reported && sum > 0 ? std::max(v.served_units / sum, 0.1 / v.scheduler_count)
-                                     : 1.0 / v.scheduler_count;
-}
-
-// The cap of a gear: doubling from the larger of reservation and usual rate, up to the limit.
-double Control::cap(const Volume& v, int gear) const {
-  if (v.plan < 0) return kNever;
-  const Plan& plan = settings_.plans[at(v.plan)];
+// Returns the transaction's volume, with its token buckets refilled.
+Volume& Control::volume_for(double now, const Transaction& transaction) {
+  if (volumes_.size() <= to_index(transaction.volume)) volumes_.resize(to_index(transaction.volume) + 1);
+  Volume& volume = volumes_[to_index(transaction.volume)];
+  const int max_schedulers = std::max(settings_.scheduler_count, 1);
+  const int schedulers = transaction.volume_schedulers > 0
+                             ? std::min(transaction.volume_schedulers, max_schedulers)
+                             : max_schedulers;
+  if (!volume.in_use) {
+    volume.in_use = true;
+    volume.plan = transaction.plan;
+    volume.scheduler_count = schedulers;
+    volume.client_timeouts.assign(settings_.profiles.size(), kInfinity);
+    // A restarted scheduler does not know which tokens it spent before, so its buckets were empty at its
+    // start.
+    volume.refilled_at = started_at_;
+  }
+  volume.scheduler_count = std::max(volume.scheduler_count, schedulers);
+  if (volume.plan < 0 || now <= volume.refilled_at) return volume;
+  const Plan& plan = settings_.plans[to_index(volume.plan)];
+  const double elapsed = now - volume.refilled_at;
+  const double share = scheduler_share(volume);
+  volume.refilled_at = now;
+  volume.limit_tokens = std::min(volume.limit_tokens + elapsed * plan.limit / volume.scheduler_count,
+                                 plan.burst / volume.scheduler_count - volume.pending_limit_units);
+  const double reserved_rate = plan.reservation * share;
+  volume.reservation_tokens = std::min(volume.reservation_tokens + elapsed * reserved_rate,
+                                       reserved_rate * kUpdatePeriod + settings_.max_transaction_units);
+  const double gear_rate = std::max(gear_cap(volume, volume.gear) * share, plan.reservation);
+  volume.gear_tokens = std::min(volume.gear_tokens + elapsed * gear_rate, settings_.max_transaction_units);
+  return volume;
+}
+
+// Fraction of the volume's served units that this scheduler handles: by the nodes' reports, else an even
+// share.
+double Control::scheduler_share(const Volume& volume) const {
+  const double served = volume.served_units + volume.served_units_by_others;
+  return volume.usage_reported && served > 0
+             ? std::max(volume.served_units / served, kMinShareFraction / volume.scheduler_count)
+             : 1.0 / volume.scheduler_count;
+}
+
+// The cap of a gear, in units per second over all schedulers. Doubles with each gear, from the larger of
+// reservation and usual rate up to the limit.
+double Control::gear_cap(const Volume& volume, int gear) const {
+  if (volume.plan < 0) return kInfinity;
+  const Plan& plan = settings_.plans[to_index(volume.plan)];
   const double base = std::max(plan.reservation, plan.usual_rate);
-  const double top = plan.limit > 0 ? plan.limit : kTopGears * base;
+  const double top = plan.limit > 0 ? plan.limit : kMaxGearMultiple * base;
   return std::min(base * std::pow(2.0, gear), top);
 }
 
-// Whether a volume below its top gear asks for more than its cap, or the share of it that it was told of.
-bool Control::over_gear(const Volume& v) const {
-  const double now_cap = cap(v, v.gear);
-  if (cap(v, v.gear + 1) <= now_cap) return false;
-  return std::max(v.arrival_rate, v.arrived_units) > now_cap * (v.usage_reported ? reported_share(v) : 1);
-}
-
-// Once a period: gears move one step, latencies and rates are learned.
-void Control::second_passed(double now) {
-  for (Volume& v : volumes_) {
-    if (!v.in_use) continue;
-    v.arrival_rate = v.arrived_units / kPeriod;
-    const double share = reported_share(v);
-    const double seen_load = v.arrived_units > 0 ? v.node_load_units / v.arrived_units : 0;
-    const double now_cap = cap(v, v.gear);
-    if (v.arrival_rate > kPromoteAbove * now_cap * share && cap(v, v.gear + 1) > now_cap) {
-      if (seen_load < kThreshold) v.gear += 1;
-    } else if (v.gear > 0 && v.arrival_rate < cap(v, v.gear - 1) * share) {
-      v.gear -= 1;
+// Whether a volume below its top gear requests more than this scheduler's reported share of its cap, or than
+// all of it without reports.
+bool Control::exceeds_gear_cap(const Volume& volume) const {
+  const double cap = gear_cap(volume, volume.gear);
+  if (gear_cap(volume, volume.gear + 1) <= cap) return false;
+  return std::max(volume.arrival_rate, volume.arrived_units) >
+         cap * (volume.usage_reported ? scheduler_share(volume) : 1);
+}
+
+// ---- Time ----
+
+void Control::schedule_wakeup(double now, double time) {
+  // Without the tolerance, a timer that fired slightly early would pass for pending, and no other would
+  // follow.
+  if (next_wakeup_at_ > now + kTimerTolerance && time >= next_wakeup_at_) return;
+  next_wakeup_at_ = time;
+  actions_.wake_at(time);
+}
+
+// Recognises by an overdue wake-up that this process was suspended. Arrivals handled now have waited for up
+// to the length of the stall, and the elapsed times of dispatches tell nothing about their nodes.
+void Control::detect_stall(double now) {
+  if (now == stalled_at_ || now < next_wakeup_at_ + kStallThreshold) return;
+  stalled_at_ = now;
+  stalled_for_ = now - next_wakeup_at_;
+}
+
+// Moves gears, updates moving averages and drops expired entries. Runs once per period.
+void Control::run_periodic_update(double now) {
+  for (Volume& volume : volumes_) {
+    if (!volume.in_use) continue;
+    volume.arrival_rate = volume.arrived_units / kUpdatePeriod;
+    const double share = scheduler_share(volume);
+    const double load = volume.arrived_units > 0 ? volume.node_load_units / volume.arrived_units : 0;
+    const double cap = gear_cap(volume, volume.gear);
+    if (volume.arrival_rate > kGearUpUtilization * cap * share && gear_cap(volume, volume.gear + 1) > cap) {
+      if (load < kLoadedNodeThreshold) volume.gear += 1;
+    } else if (volume.gear > 0 && volume.arrival_rate < gear_cap(volume, volume.gear - 1) * share) {
+      volume.gear -= 1;
     }
-    v.arrived_units = v.node_load_units = 0;
-    v.served_units *= kKeep;
-    v.served_units_by_others *= kKeep;
-    v.units_beyond_reservation *= kKeep;
-    for (double& patience : v.client_timeouts) patience *= kPatienceDrift;
+    volume.arrived_units = volume.node_load_units = 0;
+    volume.served_units *= kUsageDecay;
+    volume.served_units_by_others *= kUsageDecay;
+    volume.units_beyond_reservation *= kUsageDecay;
+    for (double& client_timeout : volume.client_timeouts) client_timeout *= kClientTimeoutGrowth;
   }
   for (Node& node : nodes_) {
-    const double served = node.served_units / kPeriod;
+    const double served = node.served_units / kUpdatePeriod;
     if (served > node.service_rate) {
       node.service_rate = served;
-    } else if (node.bound_reached) {
-      node.service_rate = kRateKeep * node.service_rate + (1 - kRateKeep) * served;
+    } else if (node.concurrency_limit_reached) {
+      node.service_rate = kServiceRateDecay * node.service_rate + (1 - kServiceRateDecay) * served;
     }
-    node.min_spacing *= kNewsDrift;
-    node.queueing_delay *= kNewsDrift;
+    node.min_spacing *= kNodeDelayDecay;
+    node.queueing_delay *= kNodeDelayDecay;
     if (node.state == NodeState::kReady && node.shard >= 0 && !is_warming_up(now, node)) {
-      if (managed_.size() <= at(node.shard)) managed_.resize(at(node.shard) + 1);
-      double& managed = managed_[at(node.shard)];
-      managed = kManagedKeep * managed + (1 - kManagedKeep) * served;
+      if (shard_service_rate_.size() <= to_index(node.shard))
+        shard_service_rate_.resize(to_index(node.shard) + 1);
+      double& rate = shard_service_rate_[to_index(node.shard)];
+      rate = kShardRateDecay * rate + (1 - kShardRateDecay) * served;
     }
     node.served_units = 0;
-    node.bound_reached = false;
-    if (node.sample_count >= kBucketReplies) {
-      node.recent_unit_latency[at(node.samples % kFlushPeriods)] = node.sample_time / node.sample_units;
+    node.concurrency_limit_reached = false;
+    if (node.sample_count >= kMinSampleReplies) {
+      node.recent_unit_latency[to_index(node.samples % kLatencySamples)] =
+          node.sample_time / node.sample_units;
       node.samples += 1;
       node.sample_time = node.sample_units = node.sample_count = 0;
-      const double recent = unit_time(node);
+      const double current = current_unit_latency(node);
       node.best_unit_latency =
-          node.samples == 1 ? recent : std::min(node.best_unit_latency * kBestDrift, recent);
+          node.samples == 1 ? current : std::min(node.best_unit_latency * kBestLatencyGrowth, current);
     }
   }
-  std::erase_if(unserved_, [&](const auto& p) { return now >= p.second.deadline; });
-  std::erase_if(key_queues_,
-                [&](const auto& l) { return l.second.transactions.empty() && now >= l.second.quiet_until; });
+  std::erase_if(unserved_, [&](const auto& entry) { return now >= entry.second.deadline; });
+  std::erase_if(key_queues_, [&](const auto& entry) {
+    return entry.second.transactions.empty() && now >= entry.second.quiet_until;
+  });
 }
 
 void Control::request_endpoint_list(double now) {
   actions_.request_endpoint_list();
-  next_list_request_at_ = now + kAskMost;
+  next_list_request_at_ = now + kMaxListRequestInterval;
 }
 
 }  // namespace heronworks
--- a/src/control.h
+++ b/src/control.h
@@ -38,84 +38,101 @@
   Control(Settings settings, ControlActions& actions, double now);
 
   void update_nodes(double now, UpdateKind kind, const std::vector<NodeEntry>& entries);
-  // The discovery service has another address: requests the endpoint list again, without back-off.
+  // The discovery service has another address: requests the endpoint list at once, without back-off.
   void discovery_moved(double now);
-  void transaction_arrived(double now, int transaction, const Transaction& t);
+  void transaction_arrived(double now, int id, const Transaction& transaction);
   // Ignores all but the first result of the newest dispatch.
-  void dispatch_finished(double now, int transaction, const DispatchResult& result);
+  void dispatch_finished(double now, int id, const DispatchResult& result);
   // The client no longer waits for the reply.
-  void transaction_abandoned(double now, int transaction);
+  void transaction_abandoned(double now, int id);
   void timer_fired(double now);
 
  private:
   friend struct ControlTestAccess;
 
-  enum class Verdict { kGone, kQueued, kNodeFull };
-
-  Verdict decide(double now, int id);
-  void serve(double now);
-  void serve(double now, int shard);
-  void hold(int id);
-  void release(TransactionState& o);
-  bool stuck(double now, int shard, bool sweep);
-  void take(double now, int shard, bool sweep);
-  void consider(double now, int id);
-  void look(double now);
-  void tidy(int shard);
-  double value_per_unit(double now, TransactionState& o);
-  void answer(double now, int id);
-  void close(int id);
-  bool wants_retry(const TransactionState& o, const Node& node);
-  bool may_retry(double now, const TransactionState& o, const Node& node);
-  RetryBudgetSlot& retry_budget_slot(double now);
+  enum class Verdict {
+    kDone,      // dispatched or answered
+    kQueued,    // stays in its queue
+    kNodeFull,  // stays in its queue: the node's concurrency limit is reached
+  };
+
+  // Queues.
+  void enqueue(int id);
+  void dequeue(TransactionState& state);
+  void compact_queue(int shard);
+  bool shard_is_blocked(double now, int shard, bool full_scan);
+
+  // Dispatch passes.
+  void process_all_queues(double now);
+  void process_shard(double now, int shard);
+  void collect_candidates(double now, int shard, bool full_scan);
+  void add_candidate(double now, int id);
+  void dispatch_candidates(double now);
+  Verdict try_dispatch(double now, int id);
+  double update_value_per_unit(double now, TransactionState& state);
+
+  // Answers.
+  void reject_or_expire(double now, int id);
+  void release_if_finished(int id);
+
+  // Retries.
+  bool retry_is_promising(const TransactionState& state, const Node& node);
+  bool retry_is_allowed(double now, const TransactionState& state, const Node& node);
+  RetryBudgetSlot& current_retry_budget_slot(double now);
+
+  // Nodes.
   Node& node_at(int index);
-  int place(double now, const TransactionState& o);
-  int rotate(double now, const TransactionState& o);
-  void rotated(int picked);
-  double unit_time(const Node& node) const;
-  double load(const Node& node) const;
-  bool has_room(double now, const Node& node, const TransactionState& o) const;
+  int select_node(double now, const TransactionState& state);
+  int pick_by_rotation(double now, const TransactionState& state);
+  void advance_rotation(int picked);
+  double current_unit_latency(const Node& node) const;
+  double node_load(const Node& node) const;
+  bool has_capacity(double now, const Node& node, const TransactionState& state) const;
   bool is_warming_up(double now, const Node& node) const;
-  double warmup_room(double now, Node& node);
-  Volume& volume_of(double now, const Transaction& t);
-  double reported_share(const Volume& v) const;
-  double cap(const Volume& v, int gear) const;
-  bool over_gear(const Volume& v) const;
-  void wake(double now, double time);
-  void note_stall(double now);
-  void second_passed(double now);
+  double warmup_allowance(double now, Node& node);
+
+  // Volumes.
+  Volume& volume_for(double now, const Transaction& transaction);
+  double scheduler_share(const Volume& volume) const;
+  double gear_cap(const Volume& volume, int gear) const;
+  bool exceeds_gear_cap(const Volume& volume) const;
+
+  // Time.
+  void schedule_wakeup(double now, double time);
+  void detect_stall(double now);
+  void run_periodic_update(double now);
   void request_endpoint_list(double now);
 
   const Settings settings_;
   ControlActions& actions_;
   std::minstd_rand random_;
-  const double started_;
-  const double answer_margin_;
-  double min_target_latency_;   // over the profiles
-  double best_benefit_ = 1e-9;  // over the profiles
-  double unit_share_ = 0;       // usual units per second for a weight of 1
-  double bad_part_ = 0;         // of recent replies, over all nodes
-  double next_wake_ = 0;
-  double stalled_at_ = -1;
+  const double started_at_;
+  const double deadline_margin_;      // time before the deadline at which a queued transaction is answered
+  double min_target_latency_;         // over the profiles
+  double max_benefit_ = 1e-9;         // over the profiles; positive, as it is a divisor
+  double usual_rate_per_weight_ = 0;  // over the plans
+  double bad_result_ratio_ = 0;       // moving average over the results of all nodes
+  double next_wakeup_at_ = 0;
+  double stalled_at_ = -1;  // end of the last stall
   double stalled_for_ = 0;
-  double second_at_;
+  double next_update_at_;
   double next_list_request_at_;
-  int failed_list_requests_ = 0;
+  int failed_list_requests_ = 0;                // in a row
   std::vector<TransactionState> transactions_;  // by index; a slot is free once answered with none in flight
-  std::vector<ShardQueue> shard_queues_;        // by shard + 1, new objects first
-  std::vector<int> taken_;                      // shards in this pass; emptied by it
-  std::vector<int> newest_;  // by shard: its most recently started ready node, or -1; rebuilt on updates
-  int queued_count_ = 0;     // over all shard queues
+  std::vector<ShardQueue> shard_queues_;        // by shard + 1; the first holds new objects
+  std::vector<int> collected_shards_;           // whose queues the current pass visits; empty between passes
+  std::vector<int> current_node_of_shard_;      // most recently started ready node, or -1
+  int queued_count_ = 0;                        // over all shard queues
   std::uint64_t last_queue_sequence_ = 0;
-  std::uint64_t look_ = 0;
-  TransactionState smallest_;                              // scratch of stuck()
-  std::vector<std::pair<double, int>> order_;              // scratch of look()
+  std::uint64_t pass_number_ = 0;
+  TransactionState smallest_queued_;                       // scratch of shard_is_blocked()
+  std::vector<std::pair<double, int>> candidates_;         // of the current pass: priority and transaction
   std::vector<Node> nodes_;                                // by index
-  std::vector<double> managed_;                            // by shard: usual service, units per second
+  std::vector<double> shard_service_rate_;                 // by shard, at this scheduler; moving average
   std::vector<Volume> volumes_;                            // by index
   std::map<std::uint64_t, UnservedTransaction> unserved_;  // by key; erased at the deadline
   std::vector<RetryBudgetSlot> retry_budget_;              // ring over the budget's window
-  std::map<std::uint64_t, KeyQueue> key_queues_;           // by key; erased when empty and quiet time is over
+  std::map<std::uint64_t, KeyQueue> key_queues_;           // by key; erased when empty and past quiet_until
 };
 
 }  // namespace heronworks
--- a/src/number.h
+++ b/src/number.h
@@ -15,10 +15,10 @@
 std::optional<Number> read_number(std::string_view text, [[maybe_unused]] int base = 10) {
   Number number{};
   const char* const end = text.data() + text.size();
-  std::from_chars_result r{};
-  if constexpr (std::is_floating_point_v<Number>) r = std::from_chars(text.data(), end, number);
-  else r = std::from_chars(text.data(), end, number, base);
-  if (r.ec != std::errc() || r.ptr != end) return std::nullopt;
+  std::from_chars_result result{};
+  if constexpr (std::is_floating_point_v<Number>) result = std::from_chars(text.data(), end, number);
+  else result = std::from_chars(text.data(), end, number, base);
+  if (result.ec != std::errc() || result.ptr != end) return std::nullopt;
   if constexpr (std::is_floating_point_v<Number>) {
     if (!std::isfinite(number)) return std::nullopt;  // from_chars accepts "nan" and "inf"
   }
--- a/src/state.h
+++ b/src/state.h
@@ -100,11 +100,11 @@
   double min_spacing = 0;   // between two dispatches
   double min_spacing_changed_at = 0;
   bool last_result_bad = false;
-  double service_rate = 0;         // learned
-  double served_units = 0;         // in the current period
-  bool bound_reached = false;      // in the current period
-  std::uint64_t full_in_pass = 0;  // last pass over the queues in which the node had no room left
-  double sample_time = 0;          // sums over the current latency sample
+  double service_rate = 0;                 // units per second, learned by this scheduler
+  double served_units = 0;                 // in the current period
+  bool concurrency_limit_reached = false;  // in the current period
+  std::uint64_t full_in_pass = 0;          // last pass over the queues that found it full
+  double sample_time = 0;                  // sums over the current latency sample
   double sample_units = 0;
   double sample_count = 0;
   std::array<double, 4> recent_unit_latency{};  // mean latency per unit of the last samples
@@ -142,7 +142,7 @@
   std::vector<double> client_timeouts;  // by profile: bound learned from clients that left early
 };
 
-// The queued transactions of one shard, or the new objects, in queue order; and bounds on their attributes.
+// The queued transactions of one shard, or the new objects, in queue order, with bounds on their attributes.
 struct ShardQueue {
   std::vector<int> ids;
   double earliest_slo_deadline = 0;
@@ -151,7 +151,7 @@
   double max_units = 0;
   double max_benefit_fraction = 0;
   bool has_retries = false;
-  bool bound_reached = false;  // in the last pass
+  bool concurrency_limit_reached = false;  // in the last pass
 };
 
 // A transaction that was answered without service, kept to recognise the client's retry.
@@ -168,7 +168,7 @@
   double quiet_until = 0;
 };
 
-// Counts of one part of the retry budget's window.
+// Counts of one time slot of the retry budget's window.
 struct RetryBudgetSlot {
   std::int64_t slot = -1;
   double arrivals = 0;
