--- a/src/control.cpp
+++ b/src/control.cpp
@@ -229,8 +229,8 @@
   // look bad to other clients.
   const bool short_deadline = state.deadline - state.arrived_at <
                               settings_.profiles[to_index(state.transaction.profile)].target_latency;
-  const bool timed_out_early = short_deadline && result.outcome == Outcome::kTimedOut;
-  const bool is_informative = now != stalled_at_ && !timed_out_early;
+  const bool timed_out_on_short_deadline = short_deadline && result.outcome == Outcome::kTimedOut;
+  const bool is_informative = now != stalled_at_ && !timed_out_on_short_deadline;
   const bool not_executed = result.outcome == Outcome::kQueueFull ||
                             result.outcome == Outcome::kConnectFailed || result.outcome == Outcome::kNotSent;
   const bool may_be_executing = result.outcome == Outcome::kTimedOut || result.outcome == Outcome::kReset ||
@@ -291,7 +291,7 @@
     if (!state.answered)
       volume.client_timeouts[to_index(state.transaction.profile)] *= kClientTimeoutRecovery;
   }
-  if (!timed_out_early && result.outcome != Outcome::kNotSent) {
+  if (!timed_out_on_short_deadline && result.outcome != Outcome::kNotSent) {
     node.success_rate += kResultGain * ((succeeded ? 1 : 0) - node.success_rate);
     if (result.dispatch_number > 0)
       node.retry_success_rate += kResultGain * ((succeeded ? 1 : 0) - node.retry_success_rate);
@@ -450,10 +450,10 @@
     // Late transactions would delay others past their SLO deadlines. One that is late only by the forecast is
     // sent after a probe interval without dispatches, to find out whether the forecast still holds.
     const Node* node = node_index >= 0 ? &nodes_[to_index(node_index)] : nullptr;
-    const double latency = node ? kQueueingDelayWeight * std::max(node->queueing_delay, 0.0) +
-                                      node->best_unit_latency * state.transaction.units
-                                : 0;
-    const bool late = now + latency >= state.slo_deadline;
+    const double forecast_latency = node ? kQueueingDelayWeight * std::max(node->queueing_delay, 0.0) +
+                                               node->best_unit_latency * state.transaction.units
+                                         : 0;
+    const bool late = now + forecast_latency >= state.slo_deadline;
     const Verdict verdict = node_is_full || (late && (now >= state.slo_deadline || node->in_flight > 0 ||
                                                       now - node->last_dispatch_at < kProbeInterval))
                                 ? Verdict::kNodeFull
@@ -639,7 +639,8 @@
     const RetryBudgetSlot* current = &current_retry_budget_slot(now);
     for (const RetryBudgetSlot& slot : retry_budget_) {
       retries += slot.retries;
-      if (slot.slot + kRetryBudgetSlots > current->slot) arrivals += slot.arrivals;  // wholly in the window
+      if (slot.number + kRetryBudgetSlots > current->number)
+        arrivals += slot.arrivals;  // wholly in the window
     }
     if (retries > settings_.retry_budget_base + settings_.retry_budget_ratio * arrivals) return false;
   }
@@ -659,10 +660,10 @@
           ? static_cast<std::int64_t>(now / (settings_.retry_budget_window / kRetryBudgetSlots))
           : 0;
   for (RetryBudgetSlot& slot : retry_budget_) {
-    if (slot.slot + kRetryBudgetSlots < number) slot = RetryBudgetSlot{};
+    if (slot.number + kRetryBudgetSlots < number) slot = RetryBudgetSlot{};
   }
   RetryBudgetSlot& current = retry_budget_[static_cast<std::size_t>(number % (kRetryBudgetSlots + 1))];
-  current.slot = number;
+  current.number = number;
   return current;
 }
 
--- a/src/state.h
+++ b/src/state.h
@@ -66,7 +66,8 @@
   double not_before = 0;    // earliest time of the next dispatch
   double random_draw = 0;   // uniform in [0, 1)
   double value_per_unit = 0;
-  double benefit_fraction = 1;  // part of the best benefit earned per unit, as of the last pass
+  double benefit_fraction =
+      1;                   // benefit per unit, relative to the highest of all profiles; as of the last pass
   double dedup_until = 0;  // end of the deduplication window of the first dispatch that may have executed
   int first_zone = -1;     // of the first dispatch that may have executed
   int first_shard = -1;
@@ -170,7 +171,7 @@
 
 // Counts of one time slot of the retry budget's window.
 struct RetryBudgetSlot {
-  std::int64_t slot = -1;
+  std::int64_t number = -1;  // of the slot, counted from time 0
   double arrivals = 0;
   double retries = 0;
 };
