--- a/src/lab/send_all.cpp
+++ b/src/lab/send_all.cpp
@@ -24,10 +24,10 @@
     : settings_(std::move(settings)),
       actions_(actions),
       random_(static_cast<std::minstd_rand::result_type>(settings_.seed % 2147483647)),
-      started_(now),
-      answer_margin_(0),
+      started_at_(now),
+      deadline_margin_(0),
       min_target_latency_(0),
-      second_at_(now),
+      next_update_at_(now),
       next_list_request_at_(now) {
   actions_.request_endpoint_list();
 }
@@ -50,7 +50,7 @@
   }
 }
 
-int Control::place(double, const TransactionState& o) {
+int Control::select_node(double, const TransactionState& o) {
   int best = -1;
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     const Node& n = nodes_[i];
@@ -74,14 +74,14 @@
   const Plan& plan = settings_.plans[at(t.plan)];
   if (!v.in_use) {
     v.in_use = true;
-    v.refilled_at = started_;
+    v.refilled_at = started_at_;
   }
   const double hosts = std::max(t.volume_schedulers, 1);
   v.limit_tokens = std::min(v.limit_tokens + (now - v.refilled_at) * plan.limit / hosts, plan.burst / hosts);
   v.refilled_at = now;
-  const int node = place(now, o);
+  const int node = select_node(now, o);
   const bool limited = plan.limit > 0 && !kCareless;
-  if (node < 0 || t.time_left <= 0 || (limited && v.limit_tokens < t.units)) return answer(now, id);
+  if (node < 0 || t.time_left <= 0 || (limited && v.limit_tokens < t.units)) return reject_or_expire(now, id);
   v.limit_tokens -= t.units;
   o.in_flight = o.dispatch_count = 1;
   actions_.dispatch(id, node, t.time_left);
@@ -93,26 +93,26 @@
   const bool never_ran = r.outcome == Outcome::kQueueFull || r.outcome == Outcome::kConnectFailed;
   o.may_have_executed = o.may_have_executed || !never_ran;
   if (r.transaction_finished) o.answered = true;
-  if (o.answered) return close(id);
+  if (o.answered) return release_if_finished(id);
   if (kCareless && o.dispatch_count < 3) {
     o.dispatch_count += 1;
     o.in_flight += 1;
     return actions_.dispatch(id, r.node, 0.5);
   }
-  answer(now, id);
+  reject_or_expire(now, id);
 }
 
-void Control::answer(double now, int id) {
+void Control::reject_or_expire(double now, int id) {
   TransactionState& o = transactions_[at(id)];
   o.answered = true;
   const bool harmless = !o.may_have_executed ||
                         settings_.profiles[at(o.transaction.profile)].idempotency == Idempotency::kIdempotent;
   if (kCareless ? id % 2 == 0 : harmless && now < o.deadline) actions_.reject(id, 0.1);
   else actions_.expire(id);
-  close(id);
+  release_if_finished(id);
 }
 
-void Control::close(int id) {
+void Control::release_if_finished(int id) {
   TransactionState& o = transactions_[at(id)];
   if (o.in_flight > 0 || !o.in_use) return;
   o.in_use = false;
@@ -121,7 +121,7 @@
 
 void Control::transaction_abandoned(double, int id) {
   transactions_[at(id)].answered = true;
-  close(id);
+  release_if_finished(id);
 }
 
 void Control::timer_fired(double now) {
