--- a/src/state.h
+++ b/src/state.h
@@ -66,7 +66,8 @@
   double not_before = 0;    // earliest time of the next dispatch
   double random_draw = 0;   // uniform in [0, 1)
   double value_per_unit = 0;
-  double benefit_fraction = 1;  // part of the best benefit earned per unit, as of the last pass
+  double benefit_fraction =
+      1;                   // benefit per unit, relative to the highest of all profiles; as of the last pass
   double dedup_until = 0;  // end of the deduplication window of the first dispatch that may have executed
   int first_zone = -1;     // of the first dispatch that may have executed
   int first_shard = -1;
@@ -100,11 +101,11 @@
   double min_spacing = 0;   // between two dispatches
   double min_spacing_changed_at = 0;
   bool last_result_bad = false;
-  double service_rate = 0;         // learned
-  double served_units = 0;         // in the current period
-  bool bound_reached = false;      // in the current period
-  std::uint64_t full_in_pass = 0;  // last pass over the queues in which the node had no room left
-  double sample_time = 0;          // sums over the current latency sample
+  double service_rate = 0;                 // units per second, learned by this scheduler
+  double served_units = 0;                 // in the current period
+  bool concurrency_limit_reached = false;  // in the current period
+  std::uint64_t full_in_pass = 0;          // last pass over the queues that found it full
+  double sample_time = 0;                  // sums over the current latency sample
   double sample_units = 0;
   double sample_count = 0;
   std::array<double, 4> recent_unit_latency{};  // mean latency per unit of the last samples
@@ -142,7 +143,7 @@
   std::vector<double> client_timeouts;  // by profile: bound learned from clients that left early
 };
 
-// The queued transactions of one shard, or the new objects, in queue order; and bounds on their attributes.
+// The queued transactions of one shard, or the new objects, in queue order, with bounds on their attributes.
 struct ShardQueue {
   std::vector<int> ids;
   double earliest_slo_deadline = 0;
@@ -151,7 +152,7 @@
   double max_units = 0;
   double max_benefit_fraction = 0;
   bool has_retries = false;
-  bool bound_reached = false;  // in the last pass
+  bool concurrency_limit_reached = false;  // in the last pass
 };
 
 // A transaction that was answered without service, kept to recognise the client's retry.
@@ -168,9 +169,9 @@
   double quiet_until = 0;
 };
 
-// Counts of one part of the retry budget's window.
+// Counts of one time slot of the retry budget's window.
 struct RetryBudgetSlot {
-  std::int64_t slot = -1;
+  std::int64_t number = -1;  // of the slot, counted from time 0
   double arrivals = 0;
   double retries = 0;
 };
