--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -63,7 +63,7 @@
   gateway::Scheduler scheduler(loop, *c, log);
   log.info(loop.now(), "started",
            {{"address", scheduler.address().to_string()}, {"index", c->settings.scheduler_index}});
-  run_until_told(loop, [&](auto done) { scheduler.drain(std::move(done)); });
+  run_until_signal(loop, [&](auto done) { scheduler.drain(std::move(done)); });
   log.info(loop.now(), "stopped");
   return 0;
 }
--- a/src/gateway/scheduler.cpp
+++ b/src/gateway/scheduler.cpp
@@ -78,7 +78,7 @@
   }
   target_ = std::make_unique<nvme::Target>(loop, std::move(listener), target_options(config), *this);
   report_ = loop_.run_at(loop_.now() + kReportEvery, [this] { report(); });
-  beat_ = std::make_unique<Beat>(loop_, log_);
+  beat_ = std::make_unique<Watchdog>(loop_, log_);
 }
 
 Scheduler::~Scheduler() {
@@ -214,7 +214,7 @@
       told > 0 ? told : config_.settings.profiles[static_cast<std::size_t>(t.profile)].deadline;
   t.time_left = whole - std::max(now() - c.at, 0.0) - config_.way_back;
 
-  const int id = slots_.take();
+  const int id = slots_.allocate();
   Slot& s = slots_[id];
   s.used = true;
   s.connection = c.connection;
@@ -312,7 +312,7 @@
 void Scheduler::release(int transaction) {
   Slot& s = slots_[transaction];
   door_.left(s.tenant, s.data ? static_cast<double>(s.data->size()) : 0);
-  slots_.give(transaction);
+  slots_.release(transaction);
 }
 
 void Scheduler::request_endpoint_list() { list_->watch(); }
@@ -423,8 +423,8 @@
 std::vector<NodeEntry> Scheduler::take_list(const std::vector<ListedNode>& nodes) {
   std::vector<NodeEntry> entries;
   for (const ListedNode& l : nodes) {
-    NodeEntry e = numbers_.begin(l.address.to_string());
-    if (nodes_.size() < static_cast<std::size_t>(numbers_.most())) nodes_.emplace_back();
+    NodeEntry e = numbers_.find_or_add(l.address.to_string());
+    if (nodes_.size() < static_cast<std::size_t>(numbers_.index_limit())) nodes_.emplace_back();
     NodeSlot& n = nodes_[static_cast<std::size_t>(e.node)];
     if (e.index_reused) {
       NodeLink::Options o;
@@ -444,23 +444,23 @@
     e.state = l.listing;
     e.started_at = l.came_up == 0 ? 0 : std::max(1e-9 * static_cast<double>(l.came_up) - wall_offset_, 1e-6);
     if (!e.index_reused && e.started_at > before) n.link->restart("another process is at this address now");
-    numbers_.listed(loop_.now(), e);
+    numbers_.update(loop_.now(), e);
     entries.push_back(e);
   }
-  numbers_.only(loop_.now(), entries);
+  numbers_.remove_absent(loop_.now(), entries);
   return entries;
 }
 
 // A link goes with its number, once it may no longer be idle and nothing is out at it.
 void Scheduler::let_go_of_gone() {
   const auto busy = [&](int node) { return nodes_[static_cast<std::size_t>(node)].link->out() > 0; };
-  for (const int node : numbers_.let_go(loop_.now(), config_.idle_close, busy)) {
+  for (const int node : numbers_.evict(loop_.now(), config_.idle_close, busy)) {
     nodes_[static_cast<std::size_t>(node)].link.reset();
   }
 }
 
 void Scheduler::connect_to_listed() {
-  for (int i = 0; i < numbers_.most(); ++i) {
+  for (int i = 0; i < numbers_.index_limit(); ++i) {
     if (numbers_.entry(i).state == NodeState::kReady) nodes_[static_cast<std::size_t>(i)].link->open();
   }
 }
@@ -469,7 +469,7 @@
   const auto entries = take_list(nodes);
   log_.info(loop_.now(), "list.came", {{"nodes", entries.size()}});
   control_->update_nodes(now(), UpdateKind::kSnapshot, entries);
-  for (int i = 0; i < numbers_.most(); ++i) {
+  for (int i = 0; i < numbers_.index_limit(); ++i) {
     NodeSlot& n = nodes_[static_cast<std::size_t>(i)];
     if (n.link && numbers_.entry(i).state != NodeState::kReady) n.link->drain();
   }
--- a/src/gateway/scheduler.h
+++ b/src/gateway/scheduler.h
@@ -11,9 +11,9 @@
 #include "gateway/list_watch.h"
 #include "gateway/match.h"
 #include "gateway/node_link.h"
-#include "host/beat.h"
-#include "host/node_numbers.h"
-#include "host/slots.h"
+#include "host/node_index_table.h"
+#include "host/slot_table.h"
+#include "host/watchdog.h"
 #include "ledger/keeper.h"
 #include "log/log.h"
 #include "nvme/target.h"
@@ -58,7 +58,7 @@
     return target_->unsent();
   }  // bytes of answers that clients have not taken yet
   bool door_empty() const { return door_.empty(); }
-  std::size_t open() const { return slots_.open(); }
+  std::size_t open() const { return slots_.in_use(); }
 
   // Takes nothing new, ends what it took, then calls `done`.
   void drain(std::function<void()> done);
@@ -142,7 +142,7 @@
   std::unique_ptr<nvme::Target> target_;
   std::unique_ptr<ListWatch> list_;
   std::unique_ptr<Control> control_;
-  Slots<Slot> slots_;                                                // by transaction
+  SlotTable<Slot> slots_;                                            // by transaction
   std::unordered_map<nvme::ConnectionId, std::set<int>> by_client_;  // open ones; emptied with them
   std::unordered_map<nvme::ConnectionId, ClientFacts> facts_;  // of I/O connections; emptied as they close
   store::DiskFiles files_;
@@ -153,10 +153,10 @@
   Loop::TimerId draining_ = 0;
   Door door_;
   std::vector<NodeSlot> nodes_;  // by the module's index; one whose address is gone for long has no link
-  NodeNumbers numbers_;          // by address
+  NodeIndexTable numbers_;       // by address
   Loop::TimerId wake_ = 0;
   Loop::TimerId report_ = 0;
-  std::unique_ptr<Beat> beat_;
+  std::unique_ptr<Watchdog> beat_;
   Counts counts_;
   Counts reported_;
   std::function<void()> drained_;
--- a/src/host/slots.h
+++ b/src/host/slot_table.h
@@ -1,5 +1,4 @@
-// Small indices for transactions and what a front keeps of each, from landing until the module forgets it.
-// As many slots as were ever open at once; a front's bound on what is open bounds them.
+// A table of reusable slots with small integer indices.
 #pragma once
 
 #include <cstddef>
@@ -7,11 +6,13 @@
 
 namespace heronworks {
 
+// Stores per-transaction state from arrival until the decision module releases the transaction. The table
+// grows to the largest number of slots in use at the same time, which the caller bounds.
 template <typename Slot>
-class Slots {
+class SlotTable {
  public:
-  // The index of a new slot. References to others may end with it.
-  int take() {
+  // Returns the index of a default-constructed slot. Invalidates references to other slots.
+  int allocate() {
     if (free_.empty()) {
       slots_.emplace_back();
       return static_cast<int>(slots_.size()) - 1;
@@ -20,14 +21,14 @@
     free_.pop_back();
     return index;
   }
-  void give(int index) {
+  void release(int index) {
     (*this)[index] = Slot{};
     free_.push_back(index);
   }
   Slot& operator[](int index) { return slots_[static_cast<std::size_t>(index)]; }
   int index_of(const Slot& slot) const { return static_cast<int>(&slot - slots_.data()); }
-  std::size_t open() const { return slots_.size() - free_.size(); }
-  // Those that are free too, as new.
+  std::size_t in_use() const { return slots_.size() - free_.size(); }
+  // Iteration includes free slots, which are default-constructed.
   auto begin() const { return slots_.begin(); }
   auto end() const { return slots_.end(); }
 
--- a/src/platform/run.cpp
+++ b/src/platform/run.cpp
@@ -44,7 +44,7 @@
   log.info(loop.now(), "started");
   // The three are let in once the loop listens to all of them, in its first turn.
   loop.defer([&] { sigprocmask(SIG_UNBLOCK, &ours, nullptr); });
-  run_until_told(loop, [&](auto done) { scheduler.drain(std::move(done)); });
+  run_until_signal(loop, [&](auto done) { scheduler.drain(std::move(done)); });
   log.info(loop.now(), "stopped");
   return 0;
 }
--- a/src/platform/scheduler.cpp
+++ b/src/platform/scheduler.cpp
@@ -82,7 +82,7 @@
   }
   front_ = std::make_unique<Front>(loop_, std::move(listener), descriptors_, requests_, *this);
   report_ = loop_.run_at(loop_.now() + kReportEvery, [this] { report(); });
-  beat_ = std::make_unique<Beat>(loop_, log_);
+  beat_ = std::make_unique<Watchdog>(loop_, log_);
 }
 
 Scheduler::~Scheduler() {
@@ -152,7 +152,7 @@
   w.t.volume = place->index;
   w.t.index_reused = place->fresh;
 
-  const int id = slots_.take();
+  const int id = slots_.allocate();
   Slot& s = slots_[id];
   s.client = client;
   const Profile& profile = config_.settings().profiles[static_cast<std::size_t>(w.t.profile)];
@@ -230,7 +230,7 @@
 
 void Scheduler::release(int transaction) {
   volumes_.ended(now(), slots_[transaction].volume);
-  slots_.give(transaction);
+  slots_.release(transaction);
 }
 
 void Scheduler::request_endpoint_list() { discovery_->watch(); }
@@ -271,12 +271,12 @@
 std::vector<NodeEntry> Scheduler::take_servers(const std::vector<Server>& servers, bool whole) {
   std::vector<NodeEntry> entries;
   for (const Server& l : servers) {
-    if (l.listing == NodeState::kRemoved && !numbers_.knows(l.id)) continue;
+    if (l.listing == NodeState::kRemoved && !numbers_.contains(l.id)) continue;
     if (l.listing != NodeState::kRemoved && !zones_.contains(l.zone) && zones_.size() >= kMostZones) {
       log_.warn(loop_.now(), "list.bad_entry", {{"fault", "one zone more than there may be: " + l.zone}});
       continue;
     }
-    NodeEntry e = numbers_.begin(l.id);
+    NodeEntry e = numbers_.find_or_add(l.id);
     const double before = e.started_at;
     e.state = l.listing;
     if (l.listing != NodeState::kRemoved) {
@@ -286,10 +286,10 @@
       pool_->place(e.node, l.address);
       if (!e.index_reused && e.started_at > before) pool_->close_idle(e.node);
     }
-    numbers_.listed(loop_.now(), e);
+    numbers_.update(loop_.now(), e);
     entries.push_back(e);
   }
-  if (whole) numbers_.only(loop_.now(), entries);
+  if (whole) numbers_.remove_absent(loop_.now(), entries);
   return entries;
 }
 
@@ -298,10 +298,10 @@
   const auto entries = take_servers(news.servers, news.whole);
   control_->update_nodes(now(), scope, entries);
   // The module has heard: nothing more goes there, and what has not begun yet is taken back.
-  for (int i = 0; i < numbers_.most(); ++i) {
+  for (int i = 0; i < numbers_.index_limit(); ++i) {
     if (numbers_.entry(i).state != NodeState::kReady) pool_->wind_up(i);
   }
-  numbers_.let_go(loop_.now(), kGoneFor, [&](int node) { return pool_->out(node) > 0; });
+  numbers_.evict(loop_.now(), kGoneFor, [&](int node) { return pool_->out(node) > 0; });
 }
 
 void Scheduler::news(const ServerNews& news) {
@@ -352,7 +352,7 @@
              {"no_descriptor", p.no_room - reported_pool_.no_room},
              {"taken_back", p.taken_back - reported_pool_.taken_back},
              {"node_links", descriptors_.taken(Descriptors::User::kNodes)},
-             {"nodes", numbers_.known()},
+             {"nodes", numbers_.size()},
              {"volumes", volumes_.size()}});
   reported_ = counts_;
   reported_front_ = f;
--- a/src/platform/scheduler.h
+++ b/src/platform/scheduler.h
@@ -7,9 +7,9 @@
 #include <unordered_map>
 
 #include "control.h"
-#include "host/beat.h"
-#include "host/node_numbers.h"
-#include "host/slots.h"
+#include "host/node_index_table.h"
+#include "host/slot_table.h"
+#include "host/watchdog.h"
 #include "log/log.h"
 #include "platform/config.h"
 #include "platform/discovery.h"
@@ -51,8 +51,8 @@
   const Counts& counts() const { return counts_; }
   const Front& front() const { return *front_; }
   const NodePool& pool() const { return *pool_; }
-  std::size_t open() const { return slots_.open(); }
-  std::size_t nodes() const { return numbers_.known(); }
+  std::size_t open() const { return slots_.in_use(); }
+  std::size_t nodes() const { return numbers_.size(); }
 
   // Goes on taking what still comes for a while, answers all, then calls `done`.
   void drain(std::function<void()> done);
@@ -108,13 +108,13 @@
   std::unique_ptr<Discovery> discovery_;
   std::unique_ptr<Control> control_;
   std::unique_ptr<Front> front_;
-  Slots<Slot> slots_;                             // by transaction
+  SlotTable<Slot> slots_;                         // by transaction
   std::unordered_map<ClientId, int> by_client_;   // open ones; emptied as they are answered or left
   std::unordered_map<std::string, int> by_call_;  // the same
-  NodeNumbers numbers_;                           // by id
+  NodeIndexTable numbers_;                        // by id
   std::map<std::string, int> zones_;              // at most kMostZones; an entry of one more is left out
   Loop::TimerId wake_ = 0;
-  std::unique_ptr<Beat> beat_;
+  std::unique_ptr<Watchdog> beat_;
   Loop::TimerId report_ = 0;
   double stop_at_ = 0;  // when all must be answered; 0: not stopping
   Counts counts_;
