--- /dev/null
+++ b/src/platform/client_server.h
@@ -0,0 +1,110 @@
+// Serves HTTP/1.1 connections from clients.
+#pragma once
+
+#include <deque>
+#include <map>
+#include <memory>
+
+#include "http/reader.h"
+#include "loop/stream.h"
+#include "platform/descriptor_budget.h"
+#include "platform/large_body_budget.h"
+
+namespace heronworks::platform {
+
+using ClientId = std::uint64_t;  // identifies a connection; never reused
+
+struct ClientReply {
+  int status = 0;
+  std::string retry_after;  // empty: none
+  std::string body;
+};
+
+class ClientServerOwner {
+ public:
+  virtual ~ClientServerOwner() = default;
+  // A complete request, which must be answered once. `received_at`: the earliest time at which its last byte
+  // can have arrived.
+  virtual void on_request(ClientId client, http::Message&& request, double received_at) = 0;
+  // The client closed its connection while a request was open. The request needs no reply.
+  virtual void on_client_closed(ClientId client) = 0;
+  // The server itself answered an invalid request with an error.
+  virtual void on_invalid_request(ClientId client, int status, const std::string& reason) = 0;
+};
+
+// Totals since the start.
+struct ClientServerCounts {
+  std::uint64_t accepted = 0;
+  std::uint64_t no_descriptor = 0;     // connections closed on accept: all others have an open transaction
+  std::uint64_t evicted = 0;           // connections closed to accept a new one
+  std::uint64_t invalid_requests = 0;  // answered by the server itself
+  std::uint64_t timed_out = 0;         // connections closed because a request was not complete in time
+  std::uint64_t closed_idle = 0;       // connections closed between requests: timeout, eviction or drain
+  std::uint64_t data_after_close = 0;  // those of closed_idle on which data arrived later; it was discarded
+};
+
+// Accepts connections, reads requests and writes replies. One transaction is open at a time on each
+// connection; pipelined requests are answered in order. It does not interpret requests.
+class ClientServer {
+ public:
+  ClientServer(Loop& loop, Fd listener, DescriptorBudget& descriptors, LargeBodyBudget& bodies,
+               ClientServerOwner& owner);
+  ~ClientServer();
+
+  void reply(ClientId client, ClientReply reply);  // ignored if the connection is closed
+  // Accepts new connections for `accept_seconds` and serves open ones for `serve_seconds`, then closes each
+  // connection once it is idle. After `end_seconds`, closes each connection without an open request. Calls
+  // `done` when all connections are closed.
+  void drain(double accept_seconds, double serve_seconds, double end_seconds, std::function<void()> done);
+  std::size_t connection_count() const { return clients_.size(); }
+  const ClientServerCounts& counts() const { return counts_; }
+
+ private:
+  struct Client;
+
+  void accept(Fd fd);
+  bool evict_idle_connection();
+  void reply_error(Client& client, int status, const std::string& reason);
+  void close_idle(Client& client);
+  void remove(ClientId client);
+  void check_timeouts();
+  void stop_accepting();
+  void stop_serving();
+  void continue_drain();
+
+  // A request must be complete within this time: from the connect for the first request, from its first byte
+  // for later ones. A first request that begins late gets kLateStartSeconds more. A connection may be idle
+  // for as long. This bounds how long silent and slow clients hold a descriptor.
+  static constexpr double kRequestTimeoutSeconds = 2.4;
+  static constexpr double kLateStartSeconds = 0.4;
+  // A client may send a request just as its idle connection is closed. A reset would not tell it whether the
+  // request was processed. So the server half-closes and discards what arrives within this time; the client
+  // sees an orderly end without a reply and can retry.
+  static constexpr double kIdleCloseLingerSeconds = 0.5;  // longer than a network transit and a loop stall
+  // What a client still sends after an error reply is discarded for this long, so that no reset overtakes the
+  // reply. kLateStartSeconds applies instead at the end of a drain.
+  static constexpr double kErrorLingerSeconds = 2.0;
+  static constexpr std::size_t kMaxDiscardedBytes = std::size_t{96} << 20;
+  static constexpr double kDrainCheckPeriodSeconds = 0.02;
+  static constexpr double kTimeoutCheckPeriodSeconds = 0.1;
+
+  Loop& loop_;
+  DescriptorBudget& descriptors_;
+  LargeBodyBudget& bodies_;
+  ClientServerOwner& owner_;
+  std::unique_ptr<Listener> listener_;
+  std::map<ClientId, std::unique_ptr<Client>> clients_;  // bounded by descriptors_
+  std::vector<std::unique_ptr<Client>> closed_;          // freed later in this loop iteration
+  std::deque<ClientId> evicted_;  // still lingering, oldest first; at most kReservedForEvicted
+  ClientId last_client_ = 0;
+  bool draining_ = false;
+  bool serving_ended_ = false;  // each reply is the last one on its connection
+  std::function<void()> drained_;
+  Loop::TimerId timeout_check_ = 0;
+  Loop::TimerId drain_timer_ = 0;
+  Loop::TimerId accept_timer_ = 0;
+  double drain_end_at_ = 0;
+  ClientServerCounts counts_;
+};
+
+}  // namespace heronworks::platform
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -1,4 +1,3 @@
-// The platform's configuration: see config.h.
 #include "platform/config.h"
 
 #include <sys/resource.h>
@@ -10,28 +9,30 @@
 namespace heronworks::platform {
 namespace {
 
-constexpr double kMicro = 1e-6;
-constexpr double kMega = 1024 * 1024;
-constexpr std::size_t kMostFile = std::size_t{8} << 20;  // bytes of a configuration; beyond it is none
-constexpr double kLeastDescriptors = 64;
-constexpr double kMostDescriptors = 1 << 20;
-
-std::string shown(const nlohmann::json& j) { return j.is_string() ? j.get<std::string>() : j.dump(); }
-
-void flatten(const nlohmann::json& j, const std::string& at,
-             std::map<std::string, std::string, std::less<>>& into) {
-  const std::string under = at.empty() ? "" : at + ".";
-  if (j.is_object()) {
-    for (const auto& [name, value] : j.items()) flatten(value, under + name, into);
-  } else if (j.is_array() && !j.empty() && j[0].is_object()) {
-    into[under + "count"] = std::to_string(j.size());
-    for (std::size_t i = 0; i < j.size(); ++i) flatten(j[i], under + std::to_string(i), into);
-  } else if (j.is_array()) {
+constexpr double kSecondsPerMicrosecond = 1e-6;
+constexpr double kBytesPerMegabyte = 1024 * 1024;
+constexpr std::size_t kMaxFileBytes = std::size_t{8} << 20;
+constexpr double kMinDescriptors = 64;
+constexpr double kMaxDescriptors = 1 << 20;
+
+std::string to_text(const nlohmann::json& json) {
+  return json.is_string() ? json.get<std::string>() : json.dump();
+}
+
+void flatten(const nlohmann::json& json, const std::string& path,
+             std::map<std::string, std::string, std::less<>>& values) {
+  const std::string prefix = path.empty() ? "" : path + ".";
+  if (json.is_object()) {
+    for (const auto& [name, value] : json.items()) flatten(value, prefix + name, values);
+  } else if (json.is_array() && !json.empty() && json[0].is_object()) {
+    values[prefix + "count"] = std::to_string(json.size());
+    for (std::size_t i = 0; i < json.size(); ++i) flatten(json[i], prefix + std::to_string(i), values);
+  } else if (json.is_array()) {
     std::string joined;
-    for (const auto& value : j) joined += (joined.empty() ? "" : ",") + shown(value);
-    into[at] = joined;
-  } else if (!j.is_null()) {
-    into[at] = shown(j);
+    for (const auto& value : json) joined += (joined.empty() ? "" : ",") + to_text(value);
+    values[path] = joined;
+  } else if (!json.is_null()) {
+    values[path] = to_text(json);
   }
 }
 
@@ -42,102 +43,103 @@
 }
 
 std::optional<std::string_view> JsonFields::find(std::string_view name) const {
-  const auto at = values_.find(name);
-  if (at == values_.end()) return std::nullopt;
-  return std::string_view(at->second);
+  const auto found = values_.find(name);
+  if (found == values_.end()) return std::nullopt;
+  return std::string_view(found->second);
 }
 
 void JsonFields::fail(std::string_view name) const {
-  throw ConfigFault(file_ + ": bad field 'settings." + std::string(name) + "'");
+  throw ConfigError(file_ + ": bad field 'settings." + std::string(name) + "'");
 }
 
-Config read_config(const Variables& variables) {
-  const char* path = variables("LB_CONFIG");
-  if (path == nullptr || *path == 0) throw ConfigFault("LB_CONFIG is not set");
-  return read_config(path, variables);
+Config read_config(const Environment& environment) {
+  const char* path = environment("LB_CONFIG");
+  if (path == nullptr || *path == 0) throw ConfigError("LB_CONFIG is not set");
+  return read_config(path, environment);
 }
 
-Config read_config(const std::string& path, const Variables& variables) {
-  const auto bad = [&](const std::string& field) {
-    return ConfigFault(path + ": bad field '" + field + "'");
+Config read_config(const std::string& path, const Environment& environment) {
+  const auto invalid_field = [&](const std::string& field) {
+    return ConfigError(path + ": bad field '" + field + "'");
   };
   std::ifstream file(path, std::ios::binary);
-  if (!file) throw ConfigFault(path + ": cannot be read");
+  if (!file) throw ConfigError(path + ": cannot be read");
   std::string text;
-  for (char piece[4096]; file.read(piece, sizeof piece), file.gcount() > 0;) {
-    text.append(piece, static_cast<std::size_t>(file.gcount()));
-    if (text.size() > kMostFile) throw ConfigFault(path + ": is too large");
+  for (char chunk[4096]; file.read(chunk, sizeof chunk), file.gcount() > 0;) {
+    text.append(chunk, static_cast<std::size_t>(file.gcount()));
+    if (text.size() > kMaxFileBytes) throw ConfigError(path + ": is larger than 8 MiB");
   }
-  Config c;
-  c.source = nlohmann::json::parse(text, nullptr, false);
-  if (c.source.is_discarded()) throw ConfigFault(path + ": is not JSON");
-  if (!c.source.is_object()) throw ConfigFault(path + ": is not a JSON object");
-
-  const auto told = [&](const char* field, const char* variable) -> std::string {
-    const auto at = c.source.find(field);
-    if (at != c.source.end()) {
-      if (!at->is_string()) throw bad(field);
-      return *at;
+  Config config;
+  config.source = nlohmann::json::parse(text, nullptr, false);
+  if (config.source.is_discarded()) throw ConfigError(path + ": is not JSON");
+  if (!config.source.is_object()) throw ConfigError(path + ": is not a JSON object");
+
+  const auto field_or_variable = [&](const char* field, const char* variable) -> std::string {
+    const auto found = config.source.find(field);
+    if (found != config.source.end()) {
+      if (!found->is_string()) throw invalid_field(field);
+      return *found;
     }
-    const char* value = variables(variable);
-    if (value == nullptr) throw bad(field);
+    const char* value = environment(variable);
+    if (value == nullptr) throw invalid_field(field);
     return value;
   };
   const auto address = [&](const char* field, const char* variable) {
-    const auto parsed = Address::parse(told(field, variable));
-    if (!parsed) throw bad(field);
+    const auto parsed = Address::parse(field_or_variable(field, variable));
+    if (!parsed) throw invalid_field(field);
     return *parsed;
   };
-  c.name = told("name", "LB_NAME");
-  c.listen = address("listen", "LB_LISTEN");
-  c.discovery = address("discovery", "LB_DISCOVERY");
+  config.name = field_or_variable("name", "LB_NAME");
+  config.listen = address("listen", "LB_LISTEN");
+  config.discovery = address("discovery", "LB_DISCOVERY");
 
-  const auto settings = c.source.find("settings");
-  if (settings == c.source.end() || !settings->is_object()) throw bad("settings");
+  const auto settings = config.source.find("settings");
+  if (settings == config.source.end() || !settings->is_object()) throw invalid_field("settings");
   const JsonFields fields(*settings, path);
-  c.named = read_settings(fields);
-  // The settings tell how often the list is renewed; on sockets it always has to be asked for, by a watch.
-  c.named.settings.requests_endpoint_list = true;
-  if (c.settings().profiles.empty()) throw bad("settings.request-classes");
-  c.shards = static_cast<int>(fields.integer("family-info.n-shards", 0));
-  c.idle_close = kMicro * fields.number("allowed.idle-close", 0.0);
-  c.connect_timeout = kMicro * fields.number("allowed.connect-timeout", 0.0);
-  c.ask_within = kMicro * fields.number("rules.ask-every", 0.0);
-
-  const auto seed = told("seed", "LB_SEED");
+  config.named_settings = read_settings(fields);
+  // Here the endpoint list always comes from a watch, whatever the settings say.
+  config.named_settings.settings.requests_endpoint_list = true;
+  if (config.settings().profiles.empty()) throw invalid_field("settings.request-classes");
+  config.shard_count = static_cast<int>(fields.integer("family-info.n-shards", 0));
+  config.node_idle_timeout = kSecondsPerMicrosecond * fields.number("allowed.idle-close", 0.0);
+  config.connect_timeout = kSecondsPerMicrosecond * fields.number("allowed.connect-timeout", 0.0);
+  config.discovery_silence = kSecondsPerMicrosecond * fields.number("rules.ask-every", 0.0);
+
+  const auto seed = field_or_variable("seed", "LB_SEED");
   const auto number = read_number<std::uint64_t>(seed, 16);
-  if (!number) throw bad("seed");
-  c.named.settings.seed = *number;
+  if (!number) throw invalid_field("seed");
+  config.named_settings.settings.seed = *number;
 
   double descriptors = 0;
-  if (const auto limits = c.source.find("limits"); limits != c.source.end()) {
-    if (!limits->is_object()) throw bad("limits");
+  if (const auto limits = config.source.find("limits"); limits != config.source.end()) {
+    if (!limits->is_object()) throw invalid_field("limits");
     if (const auto sockets = limits->find("sockets"); sockets != limits->end()) {
-      if (!sockets->is_number()) throw bad("limits.sockets");
+      if (!sockets->is_number()) throw invalid_field("limits.sockets");
       descriptors = *sockets;
-      if (!(descriptors >= kLeastDescriptors && descriptors <= kMostDescriptors)) throw bad("limits.sockets");
+      if (!(descriptors >= kMinDescriptors && descriptors <= kMaxDescriptors))
+        throw invalid_field("limits.sockets");
     }
     if (const auto memory = limits->find("memory_mb"); memory != limits->end()) {
-      if (!memory->is_number() || !(memory->get<double>() > 0)) throw bad("limits.memory_mb");
-      c.memory = kMega * memory->get<double>();
+      if (!memory->is_number() || !(memory->get<double>() > 0)) throw invalid_field("limits.memory_mb");
+      config.memory_bytes = kBytesPerMegabyte * memory->get<double>();
     }
   }
-  rlimit own{};
-  if (getrlimit(RLIMIT_NOFILE, &own) == 0 && own.rlim_cur != RLIM_INFINITY) {
-    const auto most = static_cast<double>(own.rlim_cur);
-    descriptors = descriptors > 0 ? std::min(descriptors, most) : most;
+  rlimit process_limit{};
+  if (getrlimit(RLIMIT_NOFILE, &process_limit) == 0 && process_limit.rlim_cur != RLIM_INFINITY) {
+    const auto soft_limit = static_cast<double>(process_limit.rlim_cur);
+    descriptors = descriptors > 0 ? std::min(descriptors, soft_limit) : soft_limit;
   }
-  c.descriptors = static_cast<std::size_t>(std::max(descriptors, kLeastDescriptors));
+  config.max_descriptors = static_cast<std::size_t>(std::max(descriptors, kMinDescriptors));
 
-  if (const auto known = c.source.find("known"); known != c.source.end() && !known->is_null()) {
+  if (const auto known = config.source.find("known"); known != config.source.end() && !known->is_null()) {
     try {
-      c.known = read_news(*known);
-    } catch (const std::exception& fault) {
-      throw bad(std::string("known: ") + fault.what());
+      config.initial_endpoints = parse_endpoint_update(*known);
+    } catch (const std::exception& error) {
+      throw invalid_field(std::string("known: ") + error.what());
     }
-    c.known.whole = true;
+    config.initial_endpoints.is_full = true;
   }
-  return c;
+  return config;
 }
 
 }  // namespace heronworks::platform
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -1,17 +1,17 @@
-// What the platform tells a scheduler: the variables LB_* and the file that LB_CONFIG names, as plain values.
+// The configuration of the HTTP front: LB_* environment variables and the JSON file that LB_CONFIG names.
 #pragma once
 
 #include <functional>
 #include <map>
 #include <stdexcept>
 
-#include "platform/servers.h"
+#include "platform/endpoint_update.h"
 #include "settings_reader.h"
 
 namespace heronworks::platform {
 
-// Names the file and the field.
-struct ConfigFault : std::runtime_error {
+// The message names the file and the field.
+struct ConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -19,27 +19,27 @@
   std::string name;
   Address listen;
   Address discovery;
-  NamedSettings named;
-  ServerNews known;
-  int shards = 0;              // they run from 0 to this less 1; 0: not said
-  double idle_close = 0;       // s after which a node's machine closes an idle connection; 0: not said
-  double connect_timeout = 0;  // s; 0: not said
-  double ask_within = 0;       // s without watch or call until one counts as told; 0: not said
-  std::size_t descriptors = 0;
-  double memory = 0;      // bytes; 0: not said
-  nlohmann::json source;  // to tell what a new file changes
-
-  const Settings& settings() const { return named.settings; }
+  NamedSettings named_settings;
+  EndpointUpdate initial_endpoints;
+  int shard_count = 0;           // 0: unknown
+  double node_idle_timeout = 0;  // s after which nodes close idle connections; 0: unknown
+  double connect_timeout = 0;    // s; 0: default
+  double discovery_silence = 0;  // s without a watch after which a change counts as received; 0: unknown
+  std::size_t max_descriptors = 0;
+  double memory_bytes = 0;  // 0: unknown
+  nlohmann::json source;    // the file's content, to compare it on reload
+
+  const Settings& settings() const { return named_settings.settings; }
 };
 
-using Variables = std::function<const char*(const char*)>;  // as std::getenv
+using Environment = std::function<const char*(const char*)>;  // like std::getenv
 
-// Throws ConfigFault. The file's values hold; a variable stands in for one that the file lacks.
-Config read_config(const Variables& variables);
-Config read_config(const std::string& path, const Variables& variables);
+// Throws ConfigError. Fields of the file take precedence over environment variables.
+Config read_config(const Environment& environment);
+Config read_config(const std::string& path, const Environment& environment);
 
-// Nested JSON as dotted names: a list of plain values is joined by commas, a list of objects has its length
-// under `count` and its items under 0, 1 and so on.
+// Presents nested JSON as dotted names. An array of plain values is joined by commas; an array of objects has
+// its length under `count` and its items under 0, 1 and so on.
 class JsonFields final : public SettingsFields {
  public:
   JsonFields(const nlohmann::json& settings, std::string file);
--- /dev/null
+++ b/src/platform/node_connection_pool.h
@@ -0,0 +1,102 @@
+// Pools HTTP/1.1 connections to nodes.
+#pragma once
+
+#include <deque>
+#include <memory>
+#include <unordered_map>
+
+#include "http/reader.h"
+#include "loop/stream.h"
+#include "platform/descriptor_budget.h"
+#include "platform/large_body_budget.h"
+#include "state.h"
+
+namespace heronworks::platform {
+
+// One dispatch of a transaction to a node.
+struct NodeDispatch {
+  int transaction = 0;
+  int number = 0;  // of this dispatch within the transaction
+  double sent_at = 0;
+  double deadline = 0;
+  std::vector<std::uint8_t> request;    // without its X-Budget-Ms field
+  std::size_t budget_field_offset = 0;  // where X-Budget-Ms is inserted when the request is written
+};
+
+class NodeConnectionPoolOwner {
+ public:
+  virtual ~NodeConnectionPoolOwner() = default;
+  // Called exactly once for each dispatch. `reply` is empty, with status 0, if no valid reply was received.
+  virtual void on_dispatch_finished(int node, const NodeDispatch& dispatch, Outcome outcome,
+                                    http::Message&& reply) = 0;
+};
+
+// Totals since the start.
+struct NodeConnectionPoolCounts {
+  std::uint64_t opened = 0;
+  std::uint64_t reused = 0;
+  std::uint64_t stale = 0;            // idle connections found closed, or with data on them, before reuse
+  std::uint64_t invalid_replies = 0;  // not HTTP, or beyond a limit
+  std::uint64_t unexpected_data = 0;  // connections with data that belongs to no request
+  std::uint64_t no_descriptor = 0;    // dispatches that failed for lack of a descriptor
+  std::uint64_t cancelled = 0;        // dispatches not sent completely before their client closed
+};
+
+// Sends each dispatch once, one at a time on each connection, and reports its outcome. Connections are reused
+// and closed when idle. The pool does not retry.
+class NodeConnectionPool {
+ public:
+  struct Options {
+    double connect_timeout = 1.0;  // s
+    double idle_timeout = 10.0;    // s
+  };
+
+  NodeConnectionPool(Loop& loop, Options options, DescriptorBudget& descriptors, LargeBodyBudget& bodies,
+                     NodeConnectionPoolOwner& owner);
+  ~NodeConnectionPool();
+
+  // Closes idle connections if the address has changed.
+  void set_address(int node, const Address& address);
+  void send(int node, NodeDispatch dispatch);
+  // Closes idle connections and finishes dispatches of which no byte was written with kConnectFailed.
+  void drain(int node);
+  // Finishes the transaction's dispatch with kNotSent unless the whole request may have reached the node. A
+  // connection that is still being established for it is kept for other dispatches.
+  void cancel_unsent(int node, int transaction);
+  void close_idle(int node);
+  int in_flight(int node) const;
+  std::size_t idle_connections() const;
+  const NodeConnectionPoolCounts& counts() const { return counts_; }
+
+ private:
+  struct Connection;
+  struct Node {
+    Address address;
+    std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections;  // by id
+    std::vector<std::uint64_t> idle;  // connection ids, the longest idle first
+    int in_flight = 0;
+  };
+
+  bool acquire_descriptor(int node);
+  void close(Connection& connection);
+  void close_expired();
+
+  static constexpr double kIdleCheckPeriodSeconds = 0.5;
+  // A node may send a duplicate of a reply a few milliseconds after the first. HTTP/1.1 replies carry no
+  // request id, so on a connection that is reused at once the duplicate would be taken for the reply to the
+  // next request. A connection is reused only after this delay, and closed if data arrives on it.
+  static constexpr double kReuseDelaySeconds = 0.01;
+
+  Loop& loop_;
+  const Options options_;
+  DescriptorBudget& descriptors_;
+  LargeBodyBudget& bodies_;
+  NodeConnectionPoolOwner& owner_;
+  std::deque<Node> nodes_;                           // by node index
+  std::vector<std::unique_ptr<Connection>> closed_;  // freed later in this loop iteration
+  std::uint64_t last_connection_id_ = 0;
+  Loop::TimerId idle_check_ = 0;
+  NodeConnectionPoolCounts counts_;
+};
+
+}  // namespace heronworks::platform
--- a/src/platform/run.h
+++ b/src/platform/run.h
@@ -1,9 +1,11 @@
-// The program's part on the platform: configuration, signals, one scheduler until it is told to go.
+// Entry point of `heronworks platform`.
 #pragma once
 
 namespace heronworks::platform {
 
-// The exit code: 0 after SIGTERM or SIGINT, 2 if the configuration can't be used, 1 if there is no listening.
+// Reads the configuration from the environment and runs one scheduler until SIGTERM or SIGINT; SIGHUP reloads
+// the configuration. Returns the exit code: 0 after a drain, 2 if the configuration is invalid. Throws
+// std::runtime_error if it cannot listen.
 int run();
 
 }  // namespace heronworks::platform
--- a/src/platform/scheduler.cpp
+++ b/src/platform/scheduler.cpp
@@ -1,4 +1,3 @@
-// One running scheduler on the platform: see scheduler.h.
 #include "platform/scheduler.h"
 
 #include <algorithm>
@@ -12,40 +11,42 @@
 namespace heronworks::platform {
 namespace {
 
-constexpr double kReportEvery = 1.0;  // s between two lines of counts in the log
-// The platform kills a scheduler that is to stop no sooner than its longest cut-off, counted as 3 s where it
-// is longer, and 0.7 s after SIGTERM. Its clients open connections for up to 0.4 s and keep to those they
-// have for as long as they are open: nobody else serves them. So it serves on, and what comes is given no
-// more time than is left of the stop.
-constexpr double kStopCutOff = 3.0;   // s
-constexpr double kStopSlack = 0.6;    // s after it, by which all is answered
-constexpr double kStopServe = 0.3;    // s after it, until which what comes is still served
-constexpr double kStopEnd = 0.65;     // s after it, at which connections end whatever still comes
-constexpr double kAcceptFor = 0.6;    // s after SIGTERM in which new connections are taken
-constexpr double kGoneFor = 10.0;     // s after which the index of a node that is gone is given away
-constexpr double kVolumeRest = 30.0;  // s; no shorter than a limit's store needs to be full again
-constexpr std::size_t kMostZones = 256;
-constexpr int kTurnedBack = 503;
-constexpr int kGivenUp = 504;
-
-// Empty without a wait: clients are given no advice then.
-std::string retry_after(double wait) {
-  if (wait <= 0) return "";
+constexpr double kLogPeriodSeconds = 1.0;
+// After SIGTERM the platform waits for the longest deadline of the profiles, at most
+// kMaxDrainDeadlineSeconds, plus 0.7 s before it kills the process. Clients open connections for up to 0.4 s
+// after SIGTERM and use them until they are closed, as no other process serves them. So requests are served
+// during the drain, with deadlines that end before the process is killed.
+constexpr double kMaxDrainDeadlineSeconds = 3.0;
+// After the longest deadline:
+constexpr double kDrainReplySlackSeconds = 0.6;  // all requests are answered
+constexpr double kDrainServeSlackSeconds = 0.3;  // connections are closed as they become idle
+constexpr double kDrainEndSlackSeconds = 0.65;   // connections without an open request are closed
+constexpr double kDrainAcceptSeconds = 0.6;      // after SIGTERM
+constexpr double kRemovedNodeRetentionSeconds = 10.0;
+constexpr double kMinVolumeRetentionSeconds = 30.0;
+constexpr std::size_t kMaxZones = 256;
+constexpr int kRejectedStatus = 503;
+constexpr int kExpiredStatus = 504;
+
+// The value of Retry-After; empty for 0.
+std::string retry_after_text(double seconds) {
+  if (seconds <= 0) return "";
   char text[32];
-  std::snprintf(text, sizeof text, "%.3f", wait);
+  std::snprintf(text, sizeof text, "%.3f", seconds);
   return text;
 }
 
-double volume_rest(const Settings& s) {
-  double rest = kVolumeRest;
-  for (const Plan& p : s.plans) {
-    if (p.limit > 0) rest = std::max(rest, 2 * p.burst / p.limit);
+// Long enough for the token bucket of each plan to refill.
+double volume_retention(const Settings& settings) {
+  double retention = kMinVolumeRetentionSeconds;
+  for (const Plan& plan : settings.plans) {
+    if (plan.limit > 0) retention = std::max(retention, 2 * plan.burst / plan.limit);
   }
-  return rest;
+  return retention;
 }
 
-// From /proc/self/schedstat: nanoseconds on a core, and ready to run without one. Zeros where there is none.
-Cpu own_cpu() {
+// Reads /proc/self/schedstat, which is in nanoseconds. Returns zeros if it is not available.
+CpuTime process_cpu_time() {
   std::ifstream file("/proc/self/schedstat");
   double used = 0;
   double waited = 0;
@@ -60,305 +61,320 @@
       config_(std::move(config)),
       log_(log),
       wall_offset_(wall_offset()),
-      descriptors_(config_.descriptors),
-      requests_(config_.memory),
-      answers_(config_.memory),
-      volumes_(volume_rest(config_.settings())) {
+      descriptors_(config_.max_descriptors),
+      request_bodies_(config_.memory_bytes),
+      reply_bodies_(config_.memory_bytes),
+      volumes_(volume_retention(config_.settings())) {
   Fd listener = listen_on(config_.listen, 1024);
   if (!listener)
     throw std::runtime_error("cannot listen on " + config_.listen.to_string() + ": " + std::strerror(errno));
-  NodePool::Options pool;
+  NodeConnectionPool::Options pool;
   if (config_.connect_timeout > 0) pool.connect_timeout = config_.connect_timeout;
-  if (config_.idle_close > 0) pool.idle = config_.idle_close / 2;
-  pool_ = std::make_unique<NodePool>(loop_, pool, descriptors_, answers_, *this);
-  Discovery::Options discovery;
+  if (config_.node_idle_timeout > 0) pool.idle_timeout = config_.node_idle_timeout / 2;
+  node_connections_ = std::make_unique<NodeConnectionPool>(loop_, pool, descriptors_, reply_bodies_, *this);
+  DiscoveryClient::Options discovery;
   discovery.address = config_.discovery;
-  if (config_.ask_within > 0) discovery.silence = std::min(discovery.silence, config_.ask_within / 2);
-  discovery_ = std::make_unique<Discovery>(loop_, discovery, *this);
+  if (config_.discovery_silence > 0) {
+    discovery.silence_timeout = std::min(discovery.silence_timeout, config_.discovery_silence / 2);
+  }
+  discovery_ = std::make_unique<DiscoveryClient>(loop_, discovery, *this);
   control_ = std::make_unique<Control>(config_.settings(), *this, now());
-  if (config_.known.whole) {
-    take_news(config_.known, UpdateKind::kPersisted);
-    discovery_->knows(config_.known.version);
+  if (config_.initial_endpoints.is_full) {
+    apply_update(config_.initial_endpoints, UpdateKind::kPersisted);
+    discovery_->set_known_version(config_.initial_endpoints.version);
   }
-  front_ = std::make_unique<Front>(loop_, std::move(listener), descriptors_, requests_, *this);
-  report_ = loop_.run_at(loop_.now() + kReportEvery, [this] { report(); });
-  beat_ = std::make_unique<Watchdog>(loop_, log_);
+  client_server_ =
+      std::make_unique<ClientServer>(loop_, std::move(listener), descriptors_, request_bodies_, *this);
+  log_timer_ = loop_.run_at(loop_.now() + kLogPeriodSeconds, [this] { log_counts(); });
+  watchdog_ = std::make_unique<Watchdog>(loop_, log_);
 }
 
 Scheduler::~Scheduler() {
-  loop_.cancel(wake_);
-  loop_.cancel(report_);
+  loop_.cancel(wake_timer_);
+  loop_.cancel(log_timer_);
 }
 
 void Scheduler::drain(std::function<void()> done) {
-  log_.info(loop_.now(), "drain.began", {{"open", open()}, {"clients", front_->clients()}});
+  log_.info(loop_.now(), "drain.began",
+            {{"open", open_transactions()}, {"clients", client_server_->connection_count()}});
   double longest = 0;
-  for (const Profile& p : config_.settings().profiles) longest = std::max(longest, p.deadline);
-  longest = std::min(longest, kStopCutOff);
-  stop_at_ = loop_.now() + longest + kStopSlack;
-  front_->drain(kAcceptFor, longest + kStopServe, longest + kStopEnd, [this, done = std::move(done)] {
-    log_.info(loop_.now(), "drain.done", {{"open", open()}});
-    done();
-  });
+  for (const Profile& profile : config_.settings().profiles) longest = std::max(longest, profile.deadline);
+  longest = std::min(longest, kMaxDrainDeadlineSeconds);
+  drain_deadline_ = loop_.now() + longest + kDrainReplySlackSeconds;
+  client_server_->drain(kDrainAcceptSeconds, longest + kDrainServeSlackSeconds,
+                        longest + kDrainEndSlackSeconds, [this, done = std::move(done)] {
+                          log_.info(loop_.now(), "drain.done", {{"open", open_transactions()}});
+                          done();
+                        });
 }
 
-void Scheduler::reload(const Config& c) {
-  const auto rest = [](nlohmann::json j) {
-    for (const char* own : {"discovery", "seed", "known"}) j.erase(own);
-    return j;
+void Scheduler::reload(const Config& config) {
+  // The fields that may change without a notice are left out of the comparison.
+  const auto compared_fields = [](nlohmann::json json) {
+    for (const char* field : {"discovery", "seed", "known"}) json.erase(field);
+    return json;
   };
-  const auto before = rest(config_.source);
-  const auto after = rest(c.source);
+  const auto before = compared_fields(config_.source);
+  const auto after = compared_fields(config.source);
   for (const auto& [field, value] : after.items()) {
-    const auto at = before.find(field);
-    if (at == before.end() || *at != value) log_.warn(loop_.now(), "reload.not_taken", {{"field", field}});
+    const auto found = before.find(field);
+    if (found == before.end() || *found != value) {
+      log_.warn(loop_.now(), "reload.not_taken", {{"field", field}});
+    }
   }
   for (const auto& [field, value] : before.items()) {
     if (!after.contains(field)) log_.warn(loop_.now(), "reload.not_taken", {{"field", field}});
   }
   log_.info(loop_.now(), "reload",
-            {{"discovery", c.discovery.to_string()}, {"before", config_.discovery.to_string()}});
-  if (c.discovery == config_.discovery) return;
-  config_.discovery = c.discovery;
-  discovery_->move_to(c.discovery);
+            {{"discovery", config.discovery.to_string()}, {"before", config_.discovery.to_string()}});
+  if (config.discovery == config_.discovery) return;
+  config_.discovery = config.discovery;
+  discovery_->set_address(config.discovery);
   control_->discovery_moved(now());
 }
 
-// ---- From clients ----
+// ---- ClientServerOwner ----
 
-void Scheduler::asked(ClientId client, http::Message&& request, double at) {
+void Scheduler::on_request(ClientId client, http::Message&& request, double received_at) {
   if (request.target == "/healthz" && request.method == "GET") {
-    return front_->answer(client, {stop_at_ > 0 ? 503 : 200, "", stop_at_ > 0 ? "stopping\n" : "ok\n"});
+    return client_server_->reply(
+        client, {drain_deadline_ > 0 ? 503 : 200, "", drain_deadline_ > 0 ? "stopping\n" : "ok\n"});
   }
-  const auto refuse = [&](int status, const std::string& reason) {
-    ++counts_.refused;
+  const auto reply_error = [&](int status, const std::string& reason) {
+    ++counts_.invalid;
     log_.debug(loop_.now(), "refused", {{"reason", reason}});
-    front_->answer(client, {status, "", reason + "\n"});
+    client_server_->reply(client, {status, "", reason + "\n"});
   };
-  auto read = read_wanted(request, config_);
-  if (const auto* r = std::get_if<Refused>(&read)) return refuse(r->status, r->reason);
-  Wanted& w = std::get<Wanted>(read);
-  if (by_call_.contains(w.call)) return refuse(409, "X-Call-Id is open");
-  const VolumeName volume{w.volume, w.t.plan};
-  const auto place = volumes_.index(now(), volume);
-  if (!place) {
-    ++counts_.at_door;
-    return front_->answer(client, {kTurnedBack, retry_after(config_.settings().max_retry_after), ""});
+  auto result = parse_request(request, config_);
+  if (const auto* error = std::get_if<RequestError>(&result)) {
+    return reply_error(error->status, error->reason);
+  }
+  ParsedRequest& parsed = std::get<ParsedRequest>(result);
+  if (by_call_id_.contains(parsed.call_id)) return reply_error(409, "X-Call-Id is in use by an open request");
+  const VolumeName volume{parsed.volume, parsed.transaction.plan};
+  const auto assignment = volumes_.acquire(now(), volume);
+  if (!assignment) {
+    ++counts_.rejected_at_admission;
+    return client_server_->reply(client,
+                                 {kRejectedStatus, retry_after_text(config_.settings().max_retry_after), ""});
+  }
+  // The client's deadline runs from when it sent the request, which may be long ago after a stall.
+  parsed.transaction.time_left -= std::max(now() - received_at, 0.0);
+  if (drain_deadline_ > 0) {
+    parsed.transaction.time_left = std::min(parsed.transaction.time_left, drain_deadline_ - now());
   }
-  // The client's time has been running since it sent this, which may be long ago if this scheduler stood
-  // still.
-  w.t.time_left -= std::max(now() - at, 0.0);
-  if (stop_at_ > 0) w.t.time_left = std::min(w.t.time_left, stop_at_ - now());
-  w.t.volume = place->index;
-  w.t.index_reused = place->fresh;
+  parsed.transaction.volume = assignment->index;
+  parsed.transaction.index_reused = assignment->reused;
 
   const int id = slots_.allocate();
-  Slot& s = slots_[id];
-  s.client = client;
-  const Profile& profile = config_.settings().profiles[static_cast<std::size_t>(w.t.profile)];
-  s.cut_off_at = now() + std::min(w.t.time_left, profile.deadline);
-  s.volume = volume;
-  s.call = w.call;
-  s.request = std::move(request);
+  Slot& slot = slots_[id];
+  slot.client = client;
+  const Profile& profile = config_.settings().profiles[static_cast<std::size_t>(parsed.transaction.profile)];
+  slot.deadline = now() + std::min(parsed.transaction.time_left, profile.deadline);
+  slot.volume = volume;
+  slot.call_id = parsed.call_id;
+  slot.request = std::move(request);
   by_client_[client] = id;
-  by_call_[w.call] = id;
-  ++counts_.landed;
-  control_->transaction_arrived(now(), id, w.t);
+  by_call_id_[parsed.call_id] = id;
+  ++counts_.arrived;
+  control_->transaction_arrived(now(), id, parsed.transaction);
 }
 
-void Scheduler::left(ClientId client) {
-  const auto at = by_client_.find(client);
-  if (at == by_client_.end()) return;
-  const int id = at->second;
-  Slot& s = slots_[id];
-  by_client_.erase(at);
-  by_call_.erase(s.call);
-  s.answered = true;
-  s.request = {};
-  const int node = s.node;
+void Scheduler::on_client_closed(ClientId client) {
+  const auto found = by_client_.find(client);
+  if (found == by_client_.end()) return;
+  const int id = found->second;
+  Slot& slot = slots_[id];
+  by_client_.erase(found);
+  by_call_id_.erase(slot.call_id);
+  slot.answered = true;
+  slot.request = {};
+  const int node = slot.node;
   ++counts_.abandoned;
   control_->transaction_abandoned(now(), id);
-  // What it has out and the node can't have whole yet is not begun any more.
-  if (node >= 0) pool_->take_back(node, id);
+  if (node >= 0) node_connections_->cancel_unsent(node, id);
 }
 
-void Scheduler::unreadable(ClientId client, int status, const std::string& reason) {
+void Scheduler::on_invalid_request(ClientId client, int status, const std::string& reason) {
   log_.debug(loop_.now(), "unreadable", {{"client", client}, {"status", status}, {"reason", reason}});
 }
 
-void Scheduler::answer(Slot& s, ClientAnswer a) {
-  if (s.answered) return;
-  s.answered = true;
-  s.request = {};
-  by_client_.erase(s.client);
-  by_call_.erase(s.call);
-  front_->answer(s.client, std::move(a));
+void Scheduler::reply(Slot& slot, ClientReply reply) {
+  if (slot.answered) return;
+  slot.answered = true;
+  slot.request = {};
+  by_client_.erase(slot.client);
+  by_call_id_.erase(slot.call_id);
+  client_server_->reply(slot.client, std::move(reply));
 }
 
-// ---- From the module ----
+// ---- ControlActions ----
 
 void Scheduler::dispatch(int transaction, int node, double timeout) {
-  Slot& s = slots_[transaction];
+  Slot& slot = slots_[transaction];
   ++counts_.dispatched;
-  PoolDispatch d;
-  d.transaction = transaction;
-  d.number = s.dispatches++;
-  d.sent_at = now();
-  // Never longer than its client waits, whatever the module says.
-  d.until = timeout > 0 ? std::min(now() + timeout, s.cut_off_at) : s.cut_off_at;
-  s.node = node;
-  http::Writer writer(d.bytes);
-  writer.request_line(s.request.method, s.request.target).field("Host", "node").field("X-Call-Id", s.call);
-  d.time_at = d.bytes.size();
+  NodeDispatch dispatch;
+  dispatch.transaction = transaction;
+  dispatch.number = slot.dispatches++;
+  dispatch.sent_at = now();
+  dispatch.deadline = timeout > 0 ? std::min(now() + timeout, slot.deadline) : slot.deadline;
+  slot.node = node;
+  http::Writer writer(dispatch.request);
+  writer.request_line(slot.request.method, slot.request.target)
+      .field("Host", "node")
+      .field("X-Call-Id", slot.call_id);
+  dispatch.budget_field_offset = dispatch.request.size();
   for (const char* name : {"X-Call-Class", "Tier", "IO-Info", "Idempotency-Key", "Content-Type"}) {
-    if (const std::string* value = s.request.find_field(name)) writer.field(name, *value);
+    if (const std::string* value = slot.request.find_field(name)) writer.field(name, *value);
   }
-  if (s.request.method == "GET") writer.end_without_body();
-  else writer.body(s.request.body);
-  pool_->send(node, std::move(d));
+  if (slot.request.method == "GET") writer.end_without_body();
+  else writer.body(slot.request.body);
+  node_connections_->send(node, std::move(dispatch));
 }
 
-void Scheduler::reject(int transaction, double wait) {
-  ++counts_.turned_back;
-  answer(slots_[transaction], {kTurnedBack, retry_after(wait), ""});
+void Scheduler::reject(int transaction, double retry_after) {
+  ++counts_.rejected;
+  reply(slots_[transaction], {kRejectedStatus, retry_after_text(retry_after), ""});
 }
 
 void Scheduler::expire(int transaction) {
-  ++counts_.given_up;
-  answer(slots_[transaction], {kGivenUp, "", ""});
+  ++counts_.expired;
+  reply(slots_[transaction], {kExpiredStatus, "", ""});
 }
 
 void Scheduler::release(int transaction) {
-  volumes_.ended(now(), slots_[transaction].volume);
+  volumes_.release(now(), slots_[transaction].volume);
   slots_.release(transaction);
 }
 
 void Scheduler::request_endpoint_list() { discovery_->watch(); }
 
 void Scheduler::wake_at(double time) {
-  loop_.cancel(wake_);
-  wake_ = loop_.run_at(time, [this] { control_->timer_fired(now()); });
+  loop_.cancel(wake_timer_);
+  wake_timer_ = loop_.run_at(time, [this] { control_->timer_fired(now()); });
 }
 
-// ---- From nodes ----
+// ---- NodeConnectionPoolOwner ----
 
-void Scheduler::ended(int node, const PoolDispatch& d, Outcome outcome, http::Message&& a) {
-  Slot& s = slots_[d.transaction];
+void Scheduler::on_dispatch_finished(int node, const NodeDispatch& dispatch, Outcome outcome,
+                                     http::Message&& message) {
+  Slot& slot = slots_[dispatch.transaction];
   ++counts_.outcomes[static_cast<std::size_t>(outcome)];
-  DispatchResult r;
-  r.dispatch_number = d.number;
-  r.node = node;
-  r.elapsed = std::max(now() - d.sent_at, 0.0);
-  r.outcome = outcome;
-  const auto figure = [&](const char* name) -> std::optional<double> {
-    const std::string* text = a.count_fields(name) == 1 ? a.find_field(name) : nullptr;
+  DispatchResult result;
+  result.dispatch_number = dispatch.number;
+  result.node = node;
+  result.elapsed = std::max(now() - dispatch.sent_at, 0.0);
+  result.outcome = outcome;
+  const auto number_field = [&](const char* name) -> std::optional<double> {
+    const std::string* text = message.count_fields(name) == 1 ? message.find_field(name) : nullptr;
     const auto number = text == nullptr ? std::nullopt : read_number<double>(*text);
     return number && *number >= 0 ? number : std::nullopt;
   };
-  r.units_by_others = figure("Other-Hosts").value_or(0);
-  r.usage_reported =
-      figure("Volume-Load").has_value();  // the simulator's figure less 1: 0 is one that was told
-  if (outcome == Outcome::kSucceeded && !s.answered) {
-    ++counts_.honoured;
-    answer(s, {200, "", std::move(a.body)});
+  result.units_by_others = number_field("Other-Hosts").value_or(0);
+  result.usage_reported = number_field("Volume-Load").has_value();  // only its presence counts, even if 0
+  if (outcome == Outcome::kSucceeded && !slot.answered) {
+    ++counts_.succeeded;
+    reply(slot, {200, "", std::move(message.body)});
   }
-  r.transaction_finished = s.answered;
-  control_->dispatch_finished(now(), d.transaction, r);
+  result.transaction_finished = slot.answered;
+  control_->dispatch_finished(now(), dispatch.transaction, result);
 }
 
-// ---- From discovery ----
+// ---- DiscoveryClientOwner ----
 
-std::vector<NodeEntry> Scheduler::take_servers(const std::vector<Server>& servers, bool whole) {
+std::vector<NodeEntry> Scheduler::update_node_table(const std::vector<Endpoint>& endpoints, bool is_full) {
   std::vector<NodeEntry> entries;
-  for (const Server& l : servers) {
-    if (l.listing == NodeState::kRemoved && !numbers_.contains(l.id)) continue;
-    if (l.listing != NodeState::kRemoved && !zones_.contains(l.zone) && zones_.size() >= kMostZones) {
-      log_.warn(loop_.now(), "list.bad_entry", {{"fault", "one zone more than there may be: " + l.zone}});
+  for (const Endpoint& endpoint : endpoints) {
+    if (endpoint.state == NodeState::kRemoved && !node_indices_.contains(endpoint.id)) continue;
+    if (endpoint.state != NodeState::kRemoved && !zone_indices_.contains(endpoint.zone) &&
+        zone_indices_.size() >= kMaxZones) {
+      log_.warn(loop_.now(), "list.bad_entry", {{"fault", "more than 256 zones: " + endpoint.zone}});
       continue;
     }
-    NodeEntry e = numbers_.find_or_add(l.id);
-    const double before = e.started_at;
-    e.state = l.listing;
-    if (l.listing != NodeState::kRemoved) {
-      e.zone = zones_.emplace(l.zone, static_cast<int>(zones_.size())).first->second;
-      e.shard = l.shard;
-      e.started_at = l.started == 0 ? 0 : std::max(l.started - wall_offset_, 1e-6);
-      pool_->place(e.node, l.address);
-      if (!e.index_reused && e.started_at > before) pool_->close_idle(e.node);
+    NodeEntry entry = node_indices_.find_or_add(endpoint.id);
+    const double previous_start = entry.started_at;
+    entry.state = endpoint.state;
+    if (endpoint.state != NodeState::kRemoved) {
+      entry.zone = zone_indices_.emplace(endpoint.zone, static_cast<int>(zone_indices_.size())).first->second;
+      entry.shard = endpoint.shard;
+      entry.started_at = endpoint.started_at == 0 ? 0 : std::max(endpoint.started_at - wall_offset_, 1e-6);
+      node_connections_->set_address(entry.node, endpoint.address);
+      if (!entry.index_reused && entry.started_at > previous_start) node_connections_->close_idle(entry.node);
     }
-    numbers_.update(loop_.now(), e);
-    entries.push_back(e);
+    node_indices_.update(loop_.now(), entry);
+    entries.push_back(entry);
   }
-  if (whole) numbers_.remove_absent(loop_.now(), entries);
+  if (is_full) node_indices_.remove_absent(loop_.now(), entries);
   return entries;
 }
 
-void Scheduler::take_news(const ServerNews& news, UpdateKind scope) {
-  for (const auto& fault : news.faults) log_.warn(loop_.now(), "list.bad_entry", {{"fault", fault}});
-  const auto entries = take_servers(news.servers, news.whole);
-  control_->update_nodes(now(), scope, entries);
-  // The module has heard: nothing more goes there, and what has not begun yet is taken back.
-  for (int i = 0; i < numbers_.index_limit(); ++i) {
-    if (numbers_.entry(i).state != NodeState::kReady) pool_->wind_up(i);
+void Scheduler::apply_update(const EndpointUpdate& update, UpdateKind kind) {
+  for (const auto& error : update.errors) log_.warn(loop_.now(), "list.bad_entry", {{"fault", error}});
+  const auto entries = update_node_table(update.endpoints, update.is_full);
+  control_->update_nodes(now(), kind, entries);
+  // The decision module no longer dispatches to these nodes; unsent dispatches to them are withdrawn.
+  for (int i = 0; i < node_indices_.index_limit(); ++i) {
+    if (node_indices_.entry(i).state != NodeState::kReady) node_connections_->drain(i);
   }
-  numbers_.evict(loop_.now(), kGoneFor, [&](int node) { return pool_->out(node) > 0; });
+  node_indices_.evict(loop_.now(), kRemovedNodeRetentionSeconds,
+                      [&](int node) { return node_connections_->in_flight(node) > 0; });
 }
 
-void Scheduler::news(const ServerNews& news) {
+void Scheduler::on_endpoint_update(const EndpointUpdate& update) {
   log_.debug(loop_.now(), "list.came",
-             {{"version", news.version}, {"whole", news.whole}, {"entries", news.servers.size()}});
-  take_news(news, news.whole ? UpdateKind::kSnapshot : UpdateKind::kDelta);
+             {{"version", update.version}, {"whole", update.is_full}, {"entries", update.endpoints.size()}});
+  apply_update(update, update.is_full ? UpdateKind::kSnapshot : UpdateKind::kDelta);
 }
 
-void Scheduler::discovery_failed(const std::string& reason) {
+void Scheduler::on_discovery_failed(const std::string& reason) {
   log_.warn(loop_.now(), "list.failed", {{"reason", reason}});
   control_->update_nodes(now(), UpdateKind::kFailed, {});
 }
 
-void Scheduler::report() {
-  const auto since = [&](auto field) { return counts_.*field - reported_.*field; };
-  const FrontCounts& f = front_->counts();
-  const PoolCounts& p = pool_->counts();
-  const Cpu cpu = own_cpu();
+void Scheduler::log_counts() {
+  const auto since = [&](auto field) { return counts_.*field - logged_counts_.*field; };
+  const ClientServerCounts& c = client_server_->counts();
+  const NodeConnectionPoolCounts& n = node_connections_->counts();
+  const CpuTime cpu = process_cpu_time();
   nlohmann::json outcomes = nlohmann::json::array();
-  for (std::size_t i = 0; i < 8; ++i) outcomes.push_back(counts_.outcomes[i] - reported_.outcomes[i]);
+  for (std::size_t i = 0; i < 8; ++i) outcomes.push_back(counts_.outcomes[i] - logged_counts_.outcomes[i]);
   log_.info(loop_.now(), "second",
-            {{"landed", since(&Counts::landed)},
-             {"honoured", since(&Counts::honoured)},
-             {"turned_back", since(&Counts::turned_back)},
-             {"given_up", since(&Counts::given_up)},
+            {{"landed", since(&Counts::arrived)},
+             {"honoured", since(&Counts::succeeded)},
+             {"turned_back", since(&Counts::rejected)},
+             {"given_up", since(&Counts::expired)},
              {"abandoned", since(&Counts::abandoned)},
              {"dispatched", since(&Counts::dispatched)},
-             {"refused", since(&Counts::refused)},
-             {"at_door", since(&Counts::at_door)},
+             {"refused", since(&Counts::invalid)},
+             {"at_door", since(&Counts::rejected_at_admission)},
              {"outcomes", outcomes},
-             {"cpu", cpu.used - reported_cpu_.used},
-             {"cpu_waited", cpu.waited - reported_cpu_.waited},
-             {"open", open()},
-             {"clients", front_->clients()},
-             {"accepted", f.accepted - reported_front_.accepted},
-             {"no_room", f.no_room - reported_front_.no_room},
-             {"made_way", f.made_way - reported_front_.made_way},
-             {"unreadable", f.unreadable - reported_front_.unreadable},
-             {"too_slow", f.too_slow - reported_front_.too_slow},
-             {"ended_idle", f.ended_idle - reported_front_.ended_idle},
-             {"crossed", f.crossed - reported_front_.crossed},
-             {"opened", p.opened - reported_pool_.opened},
-             {"reused", p.reused - reported_pool_.reused},
-             {"stale", p.stale - reported_pool_.stale},
-             {"spoilt", p.spoilt - reported_pool_.spoilt},
-             {"surplus", p.surplus - reported_pool_.surplus},
-             {"long_bytes", requests_.held() + answers_.held()},
-             {"no_descriptor", p.no_room - reported_pool_.no_room},
-             {"taken_back", p.taken_back - reported_pool_.taken_back},
-             {"node_links", descriptors_.taken(Descriptors::User::kNodes)},
-             {"nodes", numbers_.size()},
+             {"cpu", cpu.used - logged_cpu_.used},
+             {"cpu_waited", cpu.waited - logged_cpu_.waited},
+             {"open", open_transactions()},
+             {"clients", client_server_->connection_count()},
+             {"accepted", c.accepted - logged_client_counts_.accepted},
+             {"no_room", c.no_descriptor - logged_client_counts_.no_descriptor},
+             {"made_way", c.evicted - logged_client_counts_.evicted},
+             {"unreadable", c.invalid_requests - logged_client_counts_.invalid_requests},
+             {"too_slow", c.timed_out - logged_client_counts_.timed_out},
+             {"ended_idle", c.closed_idle - logged_client_counts_.closed_idle},
+             {"crossed", c.data_after_close - logged_client_counts_.data_after_close},
+             {"opened", n.opened - logged_node_counts_.opened},
+             {"reused", n.reused - logged_node_counts_.reused},
+             {"stale", n.stale - logged_node_counts_.stale},
+             {"spoilt", n.invalid_replies - logged_node_counts_.invalid_replies},
+             {"surplus", n.unexpected_data - logged_node_counts_.unexpected_data},
+             {"long_bytes", request_bodies_.bytes_in_use() + reply_bodies_.bytes_in_use()},
+             {"no_descriptor", n.no_descriptor - logged_node_counts_.no_descriptor},
+             {"taken_back", n.cancelled - logged_node_counts_.cancelled},
+             {"node_links", descriptors_.in_use(DescriptorBudget::User::kNodes)},
+             {"nodes", node_indices_.size()},
              {"volumes", volumes_.size()}});
-  reported_ = counts_;
-  reported_front_ = f;
-  reported_pool_ = p;
-  reported_cpu_ = cpu;
-  report_ = loop_.run_at(loop_.now() + kReportEvery, [this] { report(); });
+  logged_counts_ = counts_;
+  logged_client_counts_ = c;
+  logged_node_counts_ = n;
+  logged_cpu_ = cpu;
+  log_timer_ = loop_.run_at(loop_.now() + kLogPeriodSeconds, [this] { log_counts(); });
 }
 
 }  // namespace heronworks::platform
--- a/src/platform/scheduler.h
+++ b/src/platform/scheduler.h
@@ -1,6 +1,4 @@
-// One running scheduler on the platform: what happens on HTTP becomes calls on Control, what it decides
-// becomes requests to nodes and answers to clients. Ids, profiles, plans and volumes become small indices and
-// back. Nothing is decided here.
+// Connects the HTTP front and the node connections to the decision module.
 #pragma once
 
 #include <map>
@@ -11,117 +9,124 @@
 #include "host/slot_table.h"
 #include "host/watchdog.h"
 #include "log/log.h"
+#include "platform/client_server.h"
 #include "platform/config.h"
-#include "platform/discovery.h"
-#include "platform/front.h"
-#include "platform/node_pool.h"
-#include "platform/volumes.h"
-#include "platform/wanted.h"
+#include "platform/discovery_client.h"
+#include "platform/node_connection_pool.h"
+#include "platform/request_parser.h"
+#include "platform/volume_index_table.h"
 
 namespace heronworks::platform {
 
-// Since the start.
+// Transactions and dispatches since the start.
 struct Counts {
-  std::uint64_t landed = 0;
-  std::uint64_t honoured = 0;
-  std::uint64_t turned_back = 0;
-  std::uint64_t given_up = 0;
+  std::uint64_t arrived = 0;
+  std::uint64_t succeeded = 0;
+  std::uint64_t rejected = 0;
+  std::uint64_t expired = 0;
   std::uint64_t abandoned = 0;
   std::uint64_t dispatched = 0;
-  std::uint64_t refused = 0;       // with an error: not what a transaction looks like
-  std::uint64_t at_door = 0;       // turned back before the module saw them
-  std::uint64_t outcomes[8] = {};  // of dispatches, by Outcome
+  std::uint64_t invalid = 0;                // requests that are not a transaction; answered with an error
+  std::uint64_t rejected_at_admission = 0;  // before the decision module saw them
+  std::uint64_t outcomes[8] = {};           // of dispatches, by Outcome
 };
 
-// Seconds since the start.
-struct Cpu {
+// CPU time of the process since its start, in seconds.
+struct CpuTime {
   double used = 0;
-  double waited = 0;  // ready to run, without a core or beyond its part of one
+  double waited = 0;  // runnable, but without a core
 };
 
+// Turns requests into events of the decision module (Control), and its actions into requests to nodes and
+// replies to clients. Call ids, profiles, plans, volumes and nodes are mapped to small indices and back. All
+// decisions are made by Control.
 class Scheduler final : public ControlActions,
-                        public FrontOwner,
-                        public NodePoolOwner,
-                        public DiscoveryOwner {
+                        public ClientServerOwner,
+                        public NodeConnectionPoolOwner,
+                        public DiscoveryClientOwner {
  public:
   // Throws std::runtime_error if it cannot listen.
   Scheduler(Loop& loop, Config config, Log& log);
   ~Scheduler() override;
 
   const Counts& counts() const { return counts_; }
-  const Front& front() const { return *front_; }
-  const NodePool& pool() const { return *pool_; }
-  std::size_t open() const { return slots_.in_use(); }
-  std::size_t nodes() const { return numbers_.size(); }
+  const ClientServer& client_server() const { return *client_server_; }
+  const NodeConnectionPool& node_connections() const { return *node_connections_; }
+  std::size_t open_transactions() const { return slots_.in_use(); }
+  std::size_t node_count() const { return node_indices_.size(); }
 
-  // Goes on taking what still comes for a while, answers all, then calls `done`.
+  // Serves clients for a while longer, answers all requests, then calls `done`.
   void drain(std::function<void()> done);
-  // A new configuration: the discovery address counts, other differences are said in the log.
+  // Applies a changed discovery address. Other changes only take effect after a restart and are logged.
   void reload(const Config& config);
 
-  // From the module.
+  // ControlActions.
   void dispatch(int transaction, int node, double timeout) override;
-  void reject(int transaction, double wait) override;
+  void reject(int transaction, double retry_after) override;
   void expire(int transaction) override;
   void release(int transaction) override;
   void request_endpoint_list() override;
   void wake_at(double time) override;
 
-  // From clients.
-  void asked(ClientId client, http::Message&& request, double at) override;
-  void left(ClientId client) override;
-  void unreadable(ClientId client, int status, const std::string& reason) override;
+  // ClientServerOwner.
+  void on_request(ClientId client, http::Message&& request, double received_at) override;
+  void on_client_closed(ClientId client) override;
+  void on_invalid_request(ClientId client, int status, const std::string& reason) override;
 
-  // From nodes and discovery.
-  void ended(int node, const PoolDispatch& dispatch, Outcome outcome, http::Message&& answer) override;
-  void news(const ServerNews& news) override;
-  void discovery_failed(const std::string& reason) override;
+  // NodeConnectionPoolOwner.
+  void on_dispatch_finished(int node, const NodeDispatch& dispatch, Outcome outcome,
+                            http::Message&& reply) override;
+
+  // DiscoveryClientOwner.
+  void on_endpoint_update(const EndpointUpdate& update) override;
+  void on_discovery_failed(const std::string& reason) override;
 
  private:
-  // A transaction from landing until the module forgets it.
+  // A transaction, from its arrival until the decision module releases it.
   struct Slot {
     bool answered = false;
     ClientId client = 0;
     int dispatches = 0;
-    int node = -1;          // of the newest dispatch; -1: none
-    double cut_off_at = 0;  // when its client has given up
+    int node = -1;        // of the latest dispatch; -1: none
+    double deadline = 0;  // when the client stops waiting
     VolumeName volume;
-    std::string call;
+    std::string call_id;
     http::Message request;  // until it is answered
   };
 
   double now() const { return loop_.iteration_time(); }
-  void answer(Slot& s, ClientAnswer answer);
-  std::vector<NodeEntry> take_servers(const std::vector<Server>& servers, bool whole);
-  void take_news(const ServerNews& news, UpdateKind scope);
-  void report();
+  void reply(Slot& slot, ClientReply reply);
+  std::vector<NodeEntry> update_node_table(const std::vector<Endpoint>& endpoints, bool is_full);
+  void apply_update(const EndpointUpdate& update, UpdateKind kind);
+  void log_counts();
 
   Loop& loop_;
   Config config_;
   Log& log_;
-  const double wall_offset_;  // fixed at the start, so that a process keeps the time at which it came up
-  Descriptors descriptors_;
-  LongBodies requests_;  // their bodies
-  LongBodies answers_;
-  Volumes volumes_;
-  std::unique_ptr<NodePool> pool_;
-  std::unique_ptr<Discovery> discovery_;
+  const double
+      wall_offset_;  // Unix time less loop time; constant, so that start times of nodes stay the same
+  DescriptorBudget descriptors_;
+  LargeBodyBudget request_bodies_;
+  LargeBodyBudget reply_bodies_;
+  VolumeIndexTable volumes_;
+  std::unique_ptr<NodeConnectionPool> node_connections_;
+  std::unique_ptr<DiscoveryClient> discovery_;
   std::unique_ptr<Control> control_;
-  std::unique_ptr<Front> front_;
-  SlotTable<Slot> slots_;                         // by transaction
-  std::unordered_map<ClientId, int> by_client_;   // open ones; emptied as they are answered or left
-  std::unordered_map<std::string, int> by_call_;  // the same
-  NodeIndexTable numbers_;                        // by id
-  std::map<std::string, int> zones_;              // at most kMostZones; an entry of one more is left out
-  Loop::TimerId wake_ = 0;
-  std::unique_ptr<Watchdog> beat_;
-  Loop::TimerId report_ = 0;
-  double stop_at_ = 0;  // when all must be answered; 0: not stopping
+  std::unique_ptr<ClientServer> client_server_;
+  SlotTable<Slot> slots_;                            // by transaction
+  std::unordered_map<ClientId, int> by_client_;      // unanswered transactions
+  std::unordered_map<std::string, int> by_call_id_;  // unanswered transactions
+  NodeIndexTable node_indices_;                      // by endpoint id
+  std::map<std::string, int> zone_indices_;          // at most kMaxZones
+  Loop::TimerId wake_timer_ = 0;
+  std::unique_ptr<Watchdog> watchdog_;
+  Loop::TimerId log_timer_ = 0;
+  double drain_deadline_ = 0;  // when all requests must be answered; 0: not draining
   Counts counts_;
-  Counts reported_;
-  FrontCounts reported_front_;
-  PoolCounts reported_pool_;
-  Cpu reported_cpu_;
+  Counts logged_counts_;
+  ClientServerCounts logged_client_counts_;
+  NodeConnectionPoolCounts logged_node_counts_;
+  CpuTime logged_cpu_;
 };
 
 }  // namespace heronworks::platform
--- a/tests/platform.sh
+++ b/tests/platform.sh
@@ -1,22 +1,22 @@
 #!/bin/bash
-# The program as the platform starts it: readiness, signals, exit codes. $1: heronworks.
+# Tests the process as the platform runs it: readiness, signals and exit codes. $1: the heronworks program.
 set -u
 program=$1
 dir=$(mktemp -d)
 trap 'rm -rf "$dir"' EXIT
 fail() { echo "FAILED: $1"; cat "$dir/log" 2>/dev/null; exit 1; }
 
-# A configuration that can't be used: one line with the field, exit code 2.
+# An invalid configuration is reported in one line that names the field; the exit code is 2.
 echo '{"name":"n0","listen":"127.0.0.1:1","discovery":"here"}' > "$dir/config.json"
 LB_CONFIG=$dir/config.json "$program" platform 2> "$dir/log"
-[ $? -eq 2 ] || fail "exit code of a bad configuration"
-[ "$(wc -l < "$dir/log")" -eq 1 ] || fail "one line of a bad configuration"
-grep -q "bad field 'discovery'" "$dir/log" || fail "field of a bad configuration"
+[ $? -eq 2 ] || fail "exit code for an invalid configuration is not 2"
+[ "$(wc -l < "$dir/log")" -eq 1 ] || fail "error for an invalid configuration is not one line"
+grep -q "bad field 'discovery'" "$dir/log" || fail "error does not name the invalid field"
 env -u LB_CONFIG "$program" platform 2> "$dir/log"
-[ $? -eq 2 ] || fail "exit code without a configuration"
+[ $? -eq 2 ] || fail "exit code without a configuration is not 2"
 
-# A port that is free now; another try if somebody takes it meanwhile.
-write() {
+# Writes a configuration that listens on $port. $1: more settings fields.
+write_config() {
   cat > "$dir/new" <<JSON
 {"name":"n0","listen":"127.0.0.1:$port","discovery":"127.0.0.1:1","seed":"1f","limits":{"sockets":128},
  "known":{"generation":1,"reset":true,"instances":[]},
@@ -31,9 +31,10 @@
   timeout 10 cat <&3 | head -1
   exec 3>&-
 }
+# Tries several random ports, as one may be in use.
 for try in 1 2 3 4 5; do
   port=$((20000 + RANDOM % 20000))
-  write ""
+  write_config ""
   LB_CONFIG=$dir/config.json "$program" platform 2> "$dir/log" &
   pid=$!
   for i in $(seq 100); do
@@ -43,21 +44,21 @@
   done
   kill -KILL $pid 2> /dev/null
 done
-grep -q '"started"' "$dir/log" || fail "no start"
-healthz 2> /dev/null | grep -q ' 200 ' || fail "not ready"
+grep -q '"started"' "$dir/log" || fail "the process did not start"
+healthz 2> /dev/null | grep -q ' 200 ' || fail "/healthz does not return 200 after the start"
 echo '{' > "$dir/config.json"
 kill -HUP $pid
 for i in $(seq 100); do grep -q 'reload.failed' "$dir/log" && break; sleep 0.1; done
-grep -q 'reload.failed' "$dir/log" || fail "a bad file at SIGHUP is not said"
-write ',"tier":3'
+grep -q 'reload.failed' "$dir/log" || fail "no reload.failed event for an invalid file after SIGHUP"
+write_config ',"tier":3'
 kill -HUP $pid
 kill -HUP $pid
 for i in $(seq 100); do grep -q 'reload.not_taken' "$dir/log" && break; sleep 0.1; done
-grep -q '"field":"settings"' "$dir/log" || fail "a difference that is not taken is not said"
-healthz 2> /dev/null | grep -q ' 200 ' || fail "not ready after SIGHUP"
+grep -q '"field":"settings"' "$dir/log" || fail "no reload.not_taken event for a changed field that needs a restart"
+healthz 2> /dev/null | grep -q ' 200 ' || fail "/healthz does not return 200 after SIGHUP"
 kill -HUP $pid
 kill -TERM $pid
 wait $pid
-[ $? -eq 0 ] || fail "exit code after SIGTERM"
-grep -q '"stopped"' "$dir/log" || fail "no end"
-echo "platform: start, SIGHUP and SIGTERM as asked"
+[ $? -eq 0 ] || fail "exit code after SIGTERM is not 0"
+grep -q '"stopped"' "$dir/log" || fail "no stopped event after SIGTERM"
+echo "platform: start, SIGHUP and SIGTERM passed"
--- a/tests/platform/config_test.cpp
+++ b/tests/platform/config_test.cpp
@@ -1,5 +1,4 @@
-// The platform's configuration: the same settings from JSON and from the drill's line; faults name their
-// field.
+// Reading the configuration, and the VolumeIndexTable.
 #include "platform/config.h"
 
 #include <doctest/doctest.h>
@@ -9,14 +8,14 @@
 #include <fstream>
 
 #include "drill/line.h"
-#include "platform/volumes.h"
+#include "platform/volume_index_table.h"
 
 using namespace heronworks;
 
 namespace {
 
-// Nested JSON whose leaves have the values of a line's fields.
-nlohmann::json nested(const std::string& line) {
+// Converts the dotted fields of a settings line to nested JSON.
+nlohmann::json to_nested_json(const std::string& line) {
   nlohmann::json out = nlohmann::json::object();
   std::istringstream parts(line);
   for (std::string part; std::getline(parts, part, '\t');) {
@@ -39,7 +38,7 @@
   return out;
 }
 
-constexpr const char* kLine =
+constexpr const char* kSettingsLine =
     "PROVISION\tallowed.attempts-cap=3\tallowed.idle-close=30000000\tallowed.max-retry-after=1000000\t"
     "allowed.retry-after=true\tbalancers=3\tdiscovery=on_request\tfamily-info.cold-units=5.5\t"
     "family-info.largest=8\tfamily-info.mean-units=2.25\tfamily-info.n-shards=8\tfamily-info.share-worth=0."
@@ -56,38 +55,38 @@
     "rules.cold-share=0.16\trules.fall=1500000\trules.tip-multiple=2.0\trules.extra-window=5000000\t"
     "rules.extra-per-request=0.15\trules.free-resends=3\trules.turn-gap=40000";
 
-struct File {
+struct ConfigFile {
   std::string path = "/tmp/heronworks-config-" + std::to_string(::getpid()) + ".json";
-  ~File() { std::filesystem::remove(path); }
+  ~ConfigFile() { std::filesystem::remove(path); }
   platform::Config read(const nlohmann::json& json) const { return read(json.dump()); }
   platform::Config read(const std::string& text) const {
     std::ofstream(path) << text;
     return platform::read_config(path, [](const char*) -> const char* { return nullptr; });
   }
-  std::string fault(const nlohmann::json& json) const {
+  std::string error(const nlohmann::json& json) const {
     try {
       read(json);
-    } catch (const platform::ConfigFault& f) {
+    } catch (const platform::ConfigError& f) {
       return f.what();
     }
     return "none";
   }
 };
 
-nlohmann::json whole() {
+nlohmann::json complete_config() {
   return {{"name", "n0"},
           {"listen", "127.0.0.1:1"},
           {"discovery", "127.0.0.1:2"},
           {"seed", "ff"},
-          {"settings", nested(kLine)}};
+          {"settings", to_nested_json(kSettingsLine)}};
 }
 
 }  // namespace
 
-TEST_CASE("settings: the drill's line and the platform's JSON give the same") {
-  const drill::Line line(kLine, 1);
+TEST_CASE("settings: a drill line and the JSON configuration yield the same values") {
+  const drill::Line line(kSettingsLine, 1);
   const NamedSettings a = read_settings(line);
-  const NamedSettings b = read_settings(platform::JsonFields(nested(kLine), "x"));
+  const NamedSettings b = read_settings(platform::JsonFields(to_nested_json(kSettingsLine), "x"));
   CHECK(a.settings == b.settings);
   CHECK(a.profile_names == b.profile_names);
   CHECK(a.plan_names == b.plan_names);
@@ -97,48 +96,49 @@
   CHECK(a.settings.plans[0].limit == 21.5);
 }
 
-TEST_CASE("platform configuration: whole, and each fault with its field") {
-  File file;
-  const auto c = file.read(whole());
+TEST_CASE("platform configuration: a valid file is read, and each error names its field") {
+  ConfigFile file;
+  const auto c = file.read(complete_config());
   CHECK(c.settings().seed == 255);
-  CHECK(c.shards == 8);
-  CHECK(c.idle_close == 30);
-  const auto with = [&](const char* at, const nlohmann::json& value) {
-    auto j = whole();
+  CHECK(c.shard_count == 8);
+  CHECK(c.node_idle_timeout == 30);
+  const auto error_with = [&](const char* at, const nlohmann::json& value) {
+    auto j = complete_config();
     if (value.is_null()) j.erase(at);
     else j[nlohmann::json::json_pointer(at)] = value;
-    return file.fault(j);
+    return file.error(j);
   };
-  const std::string bad = file.path + ": bad field '";
-  CHECK(with("seed", nullptr) == bad + "seed'");
-  CHECK(with("/seed", "0x1") == bad + "seed'");
-  CHECK(with("/listen", "nowhere") == bad + "listen'");
-  CHECK(with("/discovery", 7) == bad + "discovery'");
-  CHECK(with("settings", nullptr) == bad + "settings'");
-  CHECK(with("/settings/request-classes/0/aim", "soon") == bad + "settings.request-classes.0.aim'");
-  CHECK(with("/settings/request-classes/1/effect", "odd") == bad + "settings.request-classes.1.effect'");
-  CHECK(with("/limits", {{"sockets", -4}}) == bad + "limits.sockets'");
-  CHECK(with("/known", {{"reset", true}}) == bad + "known: bad field 'generation''");
-  CHECK_THROWS_AS(file.read(std::string("{")), platform::ConfigFault);
+  const std::string prefix = file.path + ": bad field '";
+  CHECK(error_with("seed", nullptr) == prefix + "seed'");
+  CHECK(error_with("/seed", "0x1") == prefix + "seed'");
+  CHECK(error_with("/listen", "nowhere") == prefix + "listen'");
+  CHECK(error_with("/discovery", 7) == prefix + "discovery'");
+  CHECK(error_with("settings", nullptr) == prefix + "settings'");
+  CHECK(error_with("/settings/request-classes/0/aim", "soon") == prefix + "settings.request-classes.0.aim'");
+  CHECK(error_with("/settings/request-classes/1/effect", "odd") ==
+        prefix + "settings.request-classes.1.effect'");
+  CHECK(error_with("/limits", {{"sockets", -4}}) == prefix + "limits.sockets'");
+  CHECK(error_with("/known", {{"reset", true}}) == prefix + "known: bad field 'generation''");
+  CHECK_THROWS_AS(file.read(std::string("{")), platform::ConfigError);
   CHECK_THROWS_AS(platform::read_config([](const char*) -> const char* { return nullptr; }),
-                  platform::ConfigFault);
+                  platform::ConfigError);
 }
 
-TEST_CASE("volumes: an index is given away once it rests, and never while something is open") {
-  platform::Volumes v(30);
-  for (std::uint64_t i = 0; i < platform::Volumes::kMost; ++i) {
-    REQUIRE(v.index(1, {i, 0})->fresh);
-    if (i > 0) v.ended(1, {i, 0});
+TEST_CASE("volume index table: an index is reused after the retention, never with an open transaction") {
+  platform::VolumeIndexTable table(30);
+  for (std::uint64_t i = 0; i < platform::VolumeIndexTable::kMaxVolumes; ++i) {
+    REQUIRE(table.acquire(1, {i, 0})->reused);
+    if (i > 0) table.release(1, {i, 0});
   }
-  CHECK(!v.index(20, {99999, 0}));    // all were used within the rest
-  CHECK(!v.index(2, {1, 0})->fresh);  // known
-  CHECK(!v.index(2, {1, 1}));         // under another plan it is another
-  v.ended(2, {1, 0});
-  CHECK(!v.index(40, {99999, 0}));  // the longest unused has one open
-  v.ended(40, {0, 0});
-  const auto p = v.index(41, {99999, 0});
-  REQUIRE(p);
-  CHECK(p->fresh);
-  CHECK(p->index == 2);  // 0 and 1 were used later
-  CHECK(v.size() == platform::Volumes::kMost);
+  CHECK(!table.acquire(20, {99999, 0}));     // all were used within the retention
+  CHECK(!table.acquire(2, {1, 0})->reused);  // already in the table
+  CHECK(!table.acquire(2, {1, 1}));          // full: the same id under another plan is another volume
+  table.release(2, {1, 0});
+  CHECK(!table.acquire(40, {99999, 0}));  // the least recently used volume has an open transaction
+  table.release(40, {0, 0});
+  const auto assignment = table.acquire(41, {99999, 0});
+  REQUIRE(assignment);
+  CHECK(assignment->reused);
+  CHECK(assignment->index == 2);  // 0 and 1 were used more recently
+  CHECK(table.size() == platform::VolumeIndexTable::kMaxVolumes);
 }
--- a/tests/platform/scheduler_test.cpp
+++ b/tests/platform/scheduler_test.cpp
@@ -1,144 +1,145 @@
-// The platform's front on sockets: the way of a transaction, outcomes, bad clients, bad answers, restarts.
+// The scheduler on sockets: forwarding, outcomes, invalid requests and replies, drain, discovery.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
-#include "rig.h"
+#include "platform_fixture.h"
 
 using namespace heronworks;
-using heronworks::test::PlatformRig;
+using heronworks::test::PlatformFixture;
 
 namespace {
 
-std::uint64_t outcome(const PlatformRig& rig, Outcome o) {
-  return rig.scheduler->counts().outcomes[static_cast<std::size_t>(o)];
+std::uint64_t outcome(const PlatformFixture& fixture, Outcome o) {
+  return fixture.scheduler->counts().outcomes[static_cast<std::size_t>(o)];
 }
 
 }  // namespace
 
-TEST_CASE("platform: a read goes to its shard's node as it came, and its whole answer to the client") {
-  PlatformRig rig;
-  rig.node1.reply =
-      test::answer_text(200, std::string("a\0b", 3), "Volume-Load: 0\r\nX-Load-Report: TEXT queue=?\r\n");
-  rig.start();
-  auto& c = rig.client();
-  c.send(rig.request("9b1f03aa5c7e2d41", "X-Other: 1\r\nConnection: keep-alive\r\n", 1));
-  REQUIRE(rig.until([&] { return rig.status(c) == 200; }));
-  CHECK(rig.body(c) == std::string("a\0b", 3));
-  CHECK(rig.node0.came.empty());
-  REQUIRE(rig.node1.came.size() == 1);
-  const auto& r = rig.node1.came[0].request;
+TEST_CASE("platform: a read is forwarded to its shard's node, and the reply to the client") {
+  PlatformFixture fixture;
+  fixture.node1.reply =
+      test::http_reply(200, std::string("a\0b", 3), "Volume-Load: 0\r\nX-Load-Report: TEXT queue=?\r\n");
+  fixture.start();
+  auto& c = fixture.client();
+  c.send(fixture.request("9b1f03aa5c7e2d41", "X-Other: 1\r\nConnection: keep-alive\r\n", 1));
+  REQUIRE(fixture.run_until([&] { return fixture.status(c) == 200; }));
+  CHECK(fixture.body(c) == std::string("a\0b", 3));
+  CHECK(fixture.node0.received.empty());
+  REQUIRE(fixture.node1.received.size() == 1);
+  const auto& r = fixture.node1.received[0].request;
   CHECK(r.method == "GET");
   CHECK(r.target == "/api/00000003b4d60021/7f3a9c21e0b4d655");
   CHECK(*r.find_field("X-Call-Id") == "9b1f03aa5c7e2d41");
   CHECK(r.find_field("Connection") == nullptr);
   CHECK(std::stod(*r.find_field("X-Budget-Ms")) <= 1000);
-  rig.until([&] { return rig.scheduler->open() == 0; });
-  CHECK(rig.scheduler->open() == 0);
+  fixture.run_until([&] { return fixture.scheduler->open_transactions() == 0; });
+  CHECK(fixture.scheduler->open_transactions() == 0);
 }
 
 TEST_CASE(
-    "platform: a write passes on body and label, and a second one takes the same connection to its node") {
-  PlatformRig rig;
-  rig.start();
-  auto& c = rig.client();
+    "platform: a write is forwarded with body and idempotency key; the next one reuses the connection") {
+  PlatformFixture fixture;
+  fixture.start();
+  auto& c = fixture.client();
   for (int i = 0; i < 2; ++i) {
-    c.in.clear();
+    c.input.clear();
     c.send("PUT /a/b/00000003b4d60021/7f3a9c21e0b4d655?x=1 HTTP/1.1\r\nHost: app\r\nX-Call-Id: w" +
            std::to_string(i) +
            "\r\nX-Call-Class: write\r\nTier: gold\r\nX-Budget-Ms: 900.5\r\nIO-Info: hosts=1, shard=0, "
            "units=1\r\n"
            "Idempotency-Key: k1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
-    REQUIRE(rig.until([&] { return rig.status(c) == 200; }));
-    rig.run(0.04);  // a connection rests that long before it is used again
+    REQUIRE(fixture.run_until([&] { return fixture.status(c) == 200; }));
+    fixture.run_for(0.04);  // the reuse delay passes
   }
-  REQUIRE(rig.node0.came.size() == 2);
-  CHECK(rig.node0.came[1].request.body == "abcde");
-  CHECK(rig.node0.came[1].request.target == "/a/b/00000003b4d60021/7f3a9c21e0b4d655?x=1");
-  CHECK(*rig.node0.came[1].request.find_field("Idempotency-Key") == "k1");
-  CHECK(rig.node0.server.peers.size() == 1);
-  CHECK(rig.scheduler->pool().counts().reused == 1);
+  REQUIRE(fixture.node0.received.size() == 2);
+  CHECK(fixture.node0.received[1].request.body == "abcde");
+  CHECK(fixture.node0.received[1].request.target == "/a/b/00000003b4d60021/7f3a9c21e0b4d655?x=1");
+  CHECK(*fixture.node0.received[1].request.find_field("Idempotency-Key") == "k1");
+  CHECK(fixture.node0.server.peers.size() == 1);
+  CHECK(fixture.scheduler->node_connections().counts().reused == 1);
 }
 
-TEST_CASE("platform: what comes back from a node is the outcome of the platform's table") {
+TEST_CASE("platform: each reply of a node maps to its outcome") {
   struct Row {
     const char* what;
     std::string reply;
     Outcome outcome;
-    int status;  // of the client's answer; a redoable one may go again, and fails again here
+    int status;  // of the reply to the client, after a retry that fails in the same way
   };
   const Row rows[] = {
-      {"served", test::answer_text(200, "x"), Outcome::kSucceeded, 200},
-      {"1xx in front", "HTTP/1.1 103 E\r\nA: b\r\n\r\nHTTP/1.1 100 C\r\n\r\n" + test::answer_text(200, "x"),
+      {"success", test::http_reply(200, "x"), Outcome::kSucceeded, 200},
+      {"after 1xx replies",
+       "HTTP/1.1 103 E\r\nA: b\r\n\r\nHTTP/1.1 100 C\r\n\r\n" + test::http_reply(200, "x"),
        Outcome::kSucceeded, 200},
-      {"error", test::answer_text(500, "oops"), Outcome::kError, 503},
-      {"turned away", test::answer_text(503, "", "X-Rejected: 1\r\n"), Outcome::kQueueFull, 503},
-      {"turned away by time", test::answer_text(504, "", "X-Rejected: 1\r\n"), Outcome::kQueueFull, 503},
-      {"503 of its own", test::answer_text(503, ""), Outcome::kError, 503},
-      {"404", test::answer_text(404, ""), Outcome::kError, 503},
+      {"error", test::http_reply(500, "oops"), Outcome::kError, 503},
+      {"rejected with 503", test::http_reply(503, "", "X-Rejected: 1\r\n"), Outcome::kQueueFull, 503},
+      {"rejected with 504", test::http_reply(504, "", "X-Rejected: 1\r\n"), Outcome::kQueueFull, 503},
+      {"503 without X-Rejected", test::http_reply(503, ""), Outcome::kError, 503},
+      {"404", test::http_reply(404, ""), Outcome::kError, 503},
   };
   for (const Row& row : rows) {
     CAPTURE(row.what);
-    PlatformRig rig;
-    rig.node0.reply = row.reply;
-    rig.start();
-    CHECK(rig.ask(rig.request("a")) == row.status);
-    CHECK(outcome(rig, row.outcome) > 0);
-    std::uint64_t others = 0;
-    for (const auto n : rig.scheduler->counts().outcomes) others += n;
-    CHECK(others == outcome(rig, row.outcome));
+    PlatformFixture fixture;
+    fixture.node0.reply = row.reply;
+    fixture.start();
+    CHECK(fixture.send_and_wait(fixture.request("a")) == row.status);
+    CHECK(outcome(fixture, row.outcome) > 0);
+    std::uint64_t total = 0;
+    for (const auto n : fixture.scheduler->counts().outcomes) total += n;
+    CHECK(total == outcome(fixture, row.outcome));
   }
 }
 
 TEST_CASE(
-    "platform: a refused connection never ran, a break behind the last byte may have, silence is closed "
-    "first") {
-  SUBCASE("refused") {
-    PlatformRig rig;
-    rig.node0.server.down();
-    rig.start();
-    CHECK(rig.ask(rig.request("a")) == 503);
-    CHECK(outcome(rig, Outcome::kConnectFailed) > 0);
-    CHECK(outcome(rig, Outcome::kReset) == 0);
+    "platform: a refused connection is kConnectFailed, a close after the last byte kReset, silence "
+    "kTimedOut") {
+  SUBCASE("connection refused") {
+    PlatformFixture fixture;
+    fixture.node0.server.stop_listening();
+    fixture.start();
+    CHECK(fixture.send_and_wait(fixture.request("a")) == 503);
+    CHECK(outcome(fixture, Outcome::kConnectFailed) > 0);
+    CHECK(outcome(fixture, Outcome::kReset) == 0);
   }
-  SUBCASE("break") {
-    PlatformRig rig;
-    rig.node0.reply.clear();
-    rig.start();
-    rig.client().send(rig.request("a"));
-    REQUIRE(rig.until([&] { return !rig.node0.came.empty(); }));
-    rig.node0.came[0].peer->stream.close();
-    CHECK(rig.until([&] { return outcome(rig, Outcome::kReset) == 1; }));
-    CHECK(outcome(rig, Outcome::kConnectFailed) == 0);
+  SUBCASE("close without a reply") {
+    PlatformFixture fixture;
+    fixture.node0.reply.clear();
+    fixture.start();
+    fixture.client().send(fixture.request("a"));
+    REQUIRE(fixture.run_until([&] { return !fixture.node0.received.empty(); }));
+    fixture.node0.received[0].peer->stream.close();
+    CHECK(fixture.run_until([&] { return outcome(fixture, Outcome::kReset) == 1; }));
+    CHECK(outcome(fixture, Outcome::kConnectFailed) == 0);
   }
-  SUBCASE("part of an answer, then the end") {
-    PlatformRig rig;
-    rig.node0.reply = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc";
-    rig.start();
-    auto& c = rig.client();
-    c.send(rig.request("a"));
-    REQUIRE(rig.until([&] { return !rig.node0.came.empty(); }));
-    rig.run(0.01);
-    rig.node0.came[0].peer->stream.close();
-    CHECK(rig.until([&] { return outcome(rig, Outcome::kReset) == 1; }));
-    CHECK(c.in.find("abc") == std::string::npos);
+  SUBCASE("close after part of a reply") {
+    PlatformFixture fixture;
+    fixture.node0.reply = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc";
+    fixture.start();
+    auto& c = fixture.client();
+    c.send(fixture.request("a"));
+    REQUIRE(fixture.run_until([&] { return !fixture.node0.received.empty(); }));
+    fixture.run_for(0.01);
+    fixture.node0.received[0].peer->stream.close();
+    CHECK(fixture.run_until([&] { return outcome(fixture, Outcome::kReset) == 1; }));
+    CHECK(c.input.find("abc") == std::string::npos);
   }
-  SUBCASE("silence") {
-    PlatformRig rig;
-    rig.node0.reply.clear();
-    rig.start();
-    auto& c = rig.client();
-    c.send(rig.request("a"));
-    REQUIRE(rig.until([&] { return !rig.node0.came.empty(); }));
-    const auto* first = rig.node0.came[0].peer;
-    CHECK(rig.until([&] { return first->gone; }));
-    CHECK(rig.until([&] { return rig.status(c) != 0; }));
-    CHECK(outcome(rig, Outcome::kTimedOut) > 0);
-    CHECK(rig.scheduler->pool().idle() == 0);
+  SUBCASE("no reply before the timeout") {
+    PlatformFixture fixture;
+    fixture.node0.reply.clear();
+    fixture.start();
+    auto& c = fixture.client();
+    c.send(fixture.request("a"));
+    REQUIRE(fixture.run_until([&] { return !fixture.node0.received.empty(); }));
+    const auto* first = fixture.node0.received[0].peer;
+    CHECK(fixture.run_until([&] { return first->closed; }));
+    CHECK(fixture.run_until([&] { return fixture.status(c) != 0; }));
+    CHECK(outcome(fixture, Outcome::kTimedOut) > 0);
+    CHECK(fixture.scheduler->node_connections().idle_connections() == 0);
   }
 }
 
-TEST_CASE("platform: answers that can't be used end their connection and nothing of them reaches a client") {
-  const std::string spoilt[] = {
+TEST_CASE("platform: an invalid reply closes its connection, and no part of it reaches the client") {
+  const std::string invalid_replies[] = {
       "\x01\x02noise\r\n\r\n",
       "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nabcdef",
       "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 6\r\n\r\nabcdef",
@@ -152,53 +153,52 @@
       "HTTP/1.1 101 Switching\r\n\r\nabc",
       "HTTP/2.0 200 OK\r\nContent-Length: 3\r\n\r\nabc",
   };
-  for (const std::string& s : spoilt) {
-    CAPTURE(s.substr(0, 80));
-    PlatformRig rig;
-    rig.node0.reply = s;
-    rig.start();
-    auto& c = rig.client();
-    c.send(rig.request("a"));
-    REQUIRE(rig.until([&] { return rig.status(c) != 0; }));
-    CHECK(rig.status(c) == 503);
-    CHECK(c.in.find("abc") == std::string::npos);
-    CHECK(outcome(rig, Outcome::kError) > 0);
-    CHECK(rig.scheduler->pool().idle() == 0);
+  for (const std::string& reply : invalid_replies) {
+    CAPTURE(reply.substr(0, 80));
+    PlatformFixture fixture;
+    fixture.node0.reply = reply;
+    fixture.start();
+    auto& c = fixture.client();
+    c.send(fixture.request("a"));
+    REQUIRE(fixture.run_until([&] { return fixture.status(c) != 0; }));
+    CHECK(fixture.status(c) == 503);
+    CHECK(c.input.find("abc") == std::string::npos);
+    CHECK(outcome(fixture, Outcome::kError) > 0);
+    CHECK(fixture.scheduler->node_connections().idle_connections() == 0);
   }
 }
 
-TEST_CASE(
-    "platform: a good answer that brings more than is its own counts, its connection is not used again") {
+TEST_CASE("platform: a valid reply with excess data succeeds, but its connection is not reused") {
   for (const char* more : {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother", "noise", "\r\n"}) {
     CAPTURE(more);
-    PlatformRig rig;
-    rig.start();
-    SUBCASE("at once") { rig.node0.reply = test::answer_text(200, "data") + more; }
-    SUBCASE("later") { rig.node0.reply = test::answer_text(200, "data"); }
-    const bool later = rig.node0.reply.size() < 60;
+    PlatformFixture fixture;
+    fixture.start();
+    SUBCASE("at once") { fixture.node0.reply = test::http_reply(200, "data") + more; }
+    SUBCASE("later") { fixture.node0.reply = test::http_reply(200, "data"); }
+    const bool later = fixture.node0.reply.size() < 60;
     for (int i = 0; i < 2; ++i) {
-      auto& c = rig.client();
-      c.send(rig.request("a" + std::to_string(i)));
-      REQUIRE(rig.until([&] { return rig.status(c) != 0; }));
-      CHECK(rig.status(c) == 200);
-      CHECK(rig.body(c) == "data");
-      if (later) rig.node0.came.back().peer->send(more);
+      auto& c = fixture.client();
+      c.send(fixture.request("a" + std::to_string(i)));
+      REQUIRE(fixture.run_until([&] { return fixture.status(c) != 0; }));
+      CHECK(fixture.status(c) == 200);
+      CHECK(fixture.body(c) == "data");
+      if (later) fixture.node0.received.back().peer->send(more);
     }
-    rig.run(0.02);
-    CHECK(rig.node0.server.peers.size() == 2);
-    CHECK(rig.scheduler->pool().idle() == 0);
+    fixture.run_for(0.02);
+    CHECK(fixture.node0.server.peers.size() == 2);
+    CHECK(fixture.scheduler->node_connections().idle_connections() == 0);
   }
 }
 
-TEST_CASE("platform: what can't be read or taken gets its error, ends, and reaches neither module nor node") {
-  const auto without = [](std::string text, const std::string& from, const std::string& to) {
+TEST_CASE("platform: an invalid request is answered with an error and reaches neither Control nor a node") {
+  const auto replace = [](std::string text, const std::string& from, const std::string& to) {
     const auto at = text.find(from);
     REQUIRE(at != std::string::npos);
     return text.replace(at, from.size(), to);
   };
-  const std::string good = PlatformRig::request("a");
+  const std::string good = PlatformFixture::request("a");
   const std::string put =
-      without(without(without(good, "GET", "PUT"), "read", "write"), "Tier", "Idempotency-Key: k\r\nTier");
+      replace(replace(replace(good, "GET", "PUT"), "read", "write"), "Tier", "Idempotency-Key: k\r\nTier");
   struct Row {
     std::string text;
     int status;
@@ -206,396 +206,400 @@
   const Row rows[] = {
       {"noise\r\n\r\n", 400},
       {std::string("\x16\x03\x01\x02", 4), 400},
-      {without(good, "\r\nHost", "\nHost"), 400},
-      {without(good, "Host: app", "Host: app\r\n folded"), 400},
-      {without(good, "Host: app", "Host : app"), 400},
-      {without(good, "HTTP/1.1", "HTTP/3.0"), 400},
-      {without(put, "Host", "Content-Length: 3\r\nContent-Length: 4\r\nHost"), 400},
-      {without(put, "Host", "Content-Length: 3, 4\r\nHost"), 400},
-      {without(put, "Host", "Content-Length: -1\r\nHost"), 400},
-      {without(put, "Host", "Content-Length: +3\r\nHost"), 400},
-      {without(put, "Host", "Content-Length: 99999999999999999999999\r\nHost"), 400},
-      {without(put, "Host", "Content-Length: abc\r\nHost"), 400},
-      {without(put, "Host", "Content-Length: 3\r\nTransfer-Encoding: chunked\r\nHost") + "0\r\n\r\n", 400},
-      {without(put, "Host", "Transfer-Encoding: gzip, chunked\r\nHost") + "0\r\n\r\n", 400},
-      {without(put, "Host", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\nHost") + "0\r\n\r\n",
+      {replace(good, "\r\nHost", "\nHost"), 400},
+      {replace(good, "Host: app", "Host: app\r\n folded"), 400},
+      {replace(good, "Host: app", "Host : app"), 400},
+      {replace(good, "HTTP/1.1", "HTTP/3.0"), 400},
+      {replace(put, "Host", "Content-Length: 3\r\nContent-Length: 4\r\nHost"), 400},
+      {replace(put, "Host", "Content-Length: 3, 4\r\nHost"), 400},
+      {replace(put, "Host", "Content-Length: -1\r\nHost"), 400},
+      {replace(put, "Host", "Content-Length: +3\r\nHost"), 400},
+      {replace(put, "Host", "Content-Length: 99999999999999999999999\r\nHost"), 400},
+      {replace(put, "Host", "Content-Length: abc\r\nHost"), 400},
+      {replace(put, "Host", "Content-Length: 3\r\nTransfer-Encoding: chunked\r\nHost") + "0\r\n\r\n", 400},
+      {replace(put, "Host", "Transfer-Encoding: gzip, chunked\r\nHost") + "0\r\n\r\n", 400},
+      {replace(put, "Host", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\nHost") + "0\r\n\r\n",
        400},
-      {without(put, "Host", "Transfer-Encoding: chunked\r\nHost") + "-1\r\n\r\n", 400},
-      {without(put, "Host", "Content-Length: 60000000\r\nHost"), 413},
-      {without(good, "Host", "X: " + std::string(9000, 'a') + "\r\nHost"), 431},
-      {without(good, "X-Call-Id: a\r\n", ""), 400},
-      {without(good, "X-Call-Id: a", "X-Call-Id: a\r\nX-Call-Id: b"), 400},
-      {without(good, "Class: read", "Class: other"), 400},
-      {without(good, "gold", "lead"), 400},
-      {without(good, "GET", "POST"), 400},
-      {without(good, "00000003b4d60021", "3b4d60021"), 400},
-      {without(good, "7f3a9c21e0b4d655", "7f3a9c21e0b4d65g"), 400},
-      {without(good, "7f3a9c21e0b4d655", ""), 400},
-      {without(put, "Idempotency-Key: k\r\n", ""), 400},
-      {without(good, "Ms: 1000", "Ms: soon"), 400},
-      {without(good, "Ms: 1000", "Ms: nan"), 400},
-      {without(good, "Ms: 1000", "Ms: inf"), 400},
-      {without(good, "Ms: 1000", "Ms: -5"), 400},
-      {without(good, "Ms: 1000", "Ms: 0"), 400},
-      {without(good, "units=2", "units=9"), 400},
-      {without(good, "units=2", "units=0"), 400},
-      {without(good, "units=2", "units=x"), 400},
-      {without(good, "shard=0", "shard=2"), 400},
-      {without(good, "shard=0", "shard=-2"), 400},
-      {without(good, "IO-Info", "X-Info"), 400},
+      {replace(put, "Host", "Transfer-Encoding: chunked\r\nHost") + "-1\r\n\r\n", 400},
+      {replace(put, "Host", "Content-Length: 60000000\r\nHost"), 413},
+      {replace(good, "Host", "X: " + std::string(9000, 'a') + "\r\nHost"), 431},
+      {replace(good, "X-Call-Id: a\r\n", ""), 400},
+      {replace(good, "X-Call-Id: a", "X-Call-Id: a\r\nX-Call-Id: b"), 400},
+      {replace(good, "Class: read", "Class: other"), 400},
+      {replace(good, "gold", "lead"), 400},
+      {replace(good, "GET", "POST"), 400},
+      {replace(good, "00000003b4d60021", "3b4d60021"), 400},
+      {replace(good, "7f3a9c21e0b4d655", "7f3a9c21e0b4d65g"), 400},
+      {replace(good, "7f3a9c21e0b4d655", ""), 400},
+      {replace(put, "Idempotency-Key: k\r\n", ""), 400},
+      {replace(good, "Ms: 1000", "Ms: soon"), 400},
+      {replace(good, "Ms: 1000", "Ms: nan"), 400},
+      {replace(good, "Ms: 1000", "Ms: inf"), 400},
+      {replace(good, "Ms: 1000", "Ms: -5"), 400},
+      {replace(good, "Ms: 1000", "Ms: 0"), 400},
+      {replace(good, "units=2", "units=9"), 400},
+      {replace(good, "units=2", "units=0"), 400},
+      {replace(good, "units=2", "units=x"), 400},
+      {replace(good, "shard=0", "shard=2"), 400},
+      {replace(good, "shard=0", "shard=-2"), 400},
+      {replace(good, "IO-Info", "X-Info"), 400},
   };
-  PlatformRig rig;
-  rig.start();
+  PlatformFixture fixture;
+  fixture.start();
   for (const Row& row : rows) {
     CAPTURE(row.text.substr(0, 160));
-    CHECK(rig.ask(row.text) == row.status);
+    CHECK(fixture.send_and_wait(row.text) == row.status);
   }
-  CHECK(rig.scheduler->counts().landed == 0);
-  CHECK(rig.node0.came.empty());
-  // A client that has long to wait may say so: what counts is the cut-off.
-  CHECK(rig.ask(without(good, "Ms: 1000", "Ms: 99999999")) == 200);
+  CHECK(fixture.scheduler->counts().arrived == 0);
+  CHECK(fixture.node0.received.empty());
+  // A budget beyond the profile's deadline is valid; the deadline applies.
+  CHECK(fixture.send_and_wait(replace(good, "Ms: 1000", "Ms: 99999999")) == 200);
 }
 
-TEST_CASE("platform: an id that is open for somebody else is refused, and that one goes on untouched") {
-  PlatformRig rig;
-  rig.node0.reply.clear();
-  rig.start();
-  auto& c = rig.client();
-  c.send(rig.request("a"));
-  REQUIRE(rig.until([&] { return !rig.node0.came.empty(); }));
-  CHECK(rig.ask(rig.request("a")) == 409);
-  rig.node0.came[0].peer->send(test::answer_text(200, "mine"));
-  REQUIRE(rig.until([&] { return rig.status(c) == 200; }));
-  CHECK(rig.body(c) == "mine");
+TEST_CASE("platform: a call id in use by an open request is rejected, and the open request is not affected") {
+  PlatformFixture fixture;
+  fixture.node0.reply.clear();
+  fixture.start();
+  auto& c = fixture.client();
+  c.send(fixture.request("a"));
+  REQUIRE(fixture.run_until([&] { return !fixture.node0.received.empty(); }));
+  CHECK(fixture.send_and_wait(fixture.request("a")) == 409);
+  fixture.node0.received[0].peer->send(test::http_reply(200, "first"));
+  REQUIRE(fixture.run_until([&] { return fixture.status(c) == 200; }));
+  CHECK(fixture.body(c) == "first");
 }
 
-TEST_CASE(
-    "platform: silence, heads that never end and half requests are closed by time, however they trickle") {
-  PlatformRig rig;
-  rig.start();
-  auto& silent = rig.client();
-  auto& half = rig.client();
-  auto& trickles = rig.client();
-  half.send(rig.request("a").substr(0, 50));
-  const double began = rig.clock.now();
-  while (rig.clock.now() < began + 2.95) {
-    rig.run(0.05);
-    if (!trickles.gone) trickles.send("x");
+TEST_CASE("platform: silent clients and incomplete or trickling requests time out") {
+  PlatformFixture fixture;
+  fixture.start();
+  auto& silent = fixture.client();
+  auto& half = fixture.client();
+  auto& trickles = fixture.client();
+  half.send(fixture.request("a").substr(0, 50));
+  const double started_at = fixture.clock.now();
+  while (fixture.clock.now() < started_at + 2.95) {
+    fixture.run_for(0.05);
+    if (!trickles.closed) trickles.send("x");
   }
-  CHECK(silent.gone);
-  CHECK(half.gone);
-  CHECK(rig.status(half) == 408);
-  CHECK(trickles.in.size() + (trickles.gone ? 1 : 0) > 0);
-  rig.run(3);
-  CHECK(rig.scheduler->front().clients() == 0);
+  CHECK(silent.closed);
+  CHECK(half.closed);
+  CHECK(fixture.status(half) == 408);
+  CHECK(trickles.input.size() + (trickles.closed ? 1 : 0) > 0);
+  fixture.run_for(3);
+  CHECK(fixture.scheduler->client_server().connection_count() == 0);
 }
 
-TEST_CASE("platform: the error arrives although its client goes on sending") {
-  PlatformRig rig;
-  rig.start();
-  auto& c = rig.client();
+TEST_CASE("platform: an error reply reaches a client that is still sending") {
+  PlatformFixture fixture;
+  fixture.start();
+  auto& c = fixture.client();
   c.send("PUT /x HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
-  const std::string piece(1 << 16, 'x');
-  for (int i = 0; i < 900 && !c.gone; ++i) {
-    if (c.stream.unsent() < (1 << 20)) c.send(piece);
-    rig.turn();
+  const std::string chunk(1 << 16, 'x');
+  for (int i = 0; i < 900 && !c.closed; ++i) {
+    if (c.stream.unsent() < (1 << 20)) c.send(chunk);
+    fixture.run_once();
   }
-  CHECK(rig.status(c) == 413);
+  CHECK(fixture.status(c) == 413);
 }
 
-TEST_CASE(
-    "platform: a client that closes is abandoned, also behind pipelined bytes; its answer goes nowhere") {
+TEST_CASE("platform: a request is abandoned when its client closes, also with pipelined bytes unread") {
   for (const bool pipelined : {false, true}) {
     CAPTURE(pipelined);
-    PlatformRig rig;
-    rig.node0.reply.clear();
-    rig.start();
-    auto& c = rig.client();
-    c.send(rig.request("a") + (pipelined ? rig.request("b") : ""));
-    REQUIRE(rig.until([&] { return !rig.node0.came.empty(); }));
-    rig.run(0.01);
+    PlatformFixture fixture;
+    fixture.node0.reply.clear();
+    fixture.start();
+    auto& c = fixture.client();
+    c.send(fixture.request("a") + (pipelined ? fixture.request("b") : ""));
+    REQUIRE(fixture.run_until([&] { return !fixture.node0.received.empty(); }));
+    fixture.run_for(0.01);
     c.stream.close();
-    REQUIRE(rig.until([&] { return rig.scheduler->counts().abandoned == 1; }));
-    CHECK(rig.scheduler->counts().landed == 1);
-    rig.node0.came[0].peer->send(test::answer_text(200, "x"));
-    CHECK(rig.until([&] { return rig.scheduler->open() == 0; }));
-    CHECK(rig.scheduler->counts().honoured == 0);
+    REQUIRE(fixture.run_until([&] { return fixture.scheduler->counts().abandoned == 1; }));
+    CHECK(fixture.scheduler->counts().arrived == 1);
+    fixture.node0.received[0].peer->send(test::http_reply(200, "x"));
+    CHECK(fixture.run_until([&] { return fixture.scheduler->open_transactions() == 0; }));
+    CHECK(fixture.scheduler->counts().succeeded == 0);
   }
 }
 
-TEST_CASE("platform: pipelined requests are answered in order, one open at a time") {
-  PlatformRig rig;
-  rig.node0.reply.clear();
-  rig.start();
-  auto& c = rig.client();
-  c.send(rig.request("a") + rig.request("b"));
-  REQUIRE(rig.until([&] { return rig.node0.came.size() == 1; }));
-  rig.run(0.02);
-  CHECK(rig.node0.came.size() == 1);
-  rig.node0.came[0].peer->send(test::answer_text(200, "one"));
-  REQUIRE(rig.until([&] { return rig.node0.came.size() == 2; }));
-  rig.node0.came[1].peer->send(test::answer_text(200, "two"));
-  REQUIRE(rig.until([&] { return c.in.find("two") != std::string::npos; }));
-  CHECK(c.in.find("one") < c.in.find("two"));
+TEST_CASE("platform: pipelined requests are processed one at a time and answered in order") {
+  PlatformFixture fixture;
+  fixture.node0.reply.clear();
+  fixture.start();
+  auto& c = fixture.client();
+  c.send(fixture.request("a") + fixture.request("b"));
+  REQUIRE(fixture.run_until([&] { return fixture.node0.received.size() == 1; }));
+  fixture.run_for(0.02);
+  CHECK(fixture.node0.received.size() == 1);
+  fixture.node0.received[0].peer->send(test::http_reply(200, "one"));
+  REQUIRE(fixture.run_until([&] { return fixture.node0.received.size() == 2; }));
+  fixture.node0.received[1].peer->send(test::http_reply(200, "two"));
+  REQUIRE(fixture.run_until([&] { return c.input.find("two") != std::string::npos; }));
+  CHECK(c.input.find("one") < c.input.find("two"));
 }
 
-TEST_CASE("platform: a dispatch whose connection is still coming up when its node drains is taken back") {
-  PlatformRig rig;
-  // A listener whose queue is full leaves connections coming up for long.
+TEST_CASE("platform: a dispatch on a connection still being established fails when its node drains") {
+  PlatformFixture fixture;
+  // New connections to a listener with a full backlog stay unestablished.
   Fd full = listen_on({"127.0.0.1", 0}, 0);
   std::vector<Fd> fillers;
   for (int i = 0; i < 4; ++i) fillers.push_back(connect_to(local_address(full.get())));
-  rig.json["known"] =
-      nlohmann::json::parse(rig.news(7, true, {rig.entry("s-0", local_address(full.get()), 0)}));
-  rig.start();
-  auto& c = rig.client();
-  c.send(rig.request("a"));
-  REQUIRE(rig.until([&] { return rig.scheduler->counts().dispatched == 1; }));
-  CHECK(outcome(rig, Outcome::kConnectFailed) == 0);
-  rig.discovery.tell(rig.news(8, false, {rig.entry("s-0", local_address(full.get()), 0, "Terminating")}));
-  REQUIRE(rig.until([&] { return outcome(rig, Outcome::kConnectFailed) == 1; }, 0.2));
-  rig.run(1.5);
-  CHECK(rig.scheduler->counts().dispatched == 1);
-  CHECK(rig.status(c) == 503);
+  fixture.json["known"] = nlohmann::json::parse(
+      fixture.update_text(7, true, {fixture.entry_text("s-0", local_address(full.get()), 0)}));
+  fixture.start();
+  auto& c = fixture.client();
+  c.send(fixture.request("a"));
+  REQUIRE(fixture.run_until([&] { return fixture.scheduler->counts().dispatched == 1; }));
+  CHECK(outcome(fixture, Outcome::kConnectFailed) == 0);
+  fixture.discovery.push(fixture.update_text(
+      8, false, {fixture.entry_text("s-0", local_address(full.get()), 0, "Terminating")}));
+  REQUIRE(fixture.run_until([&] { return outcome(fixture, Outcome::kConnectFailed) == 1; }, 0.2));
+  fixture.run_for(1.5);
+  CHECK(fixture.scheduler->counts().dispatched == 1);
+  CHECK(fixture.status(c) == 503);
 }
 
-TEST_CASE("platform: told to stop, it serves on what is open, gives no more time than is left, and ends") {
-  PlatformRig rig;
-  rig.start();
-  auto& kept = rig.client();
-  kept.send(rig.request("a"));
-  REQUIRE(rig.until([&] { return rig.status(kept) == 200; }));
+TEST_CASE("platform: a drain serves open connections with deadlines that end before it does") {
+  PlatformFixture fixture;
+  fixture.start();
+  auto& kept = fixture.client();
+  kept.send(fixture.request("a"));
+  REQUIRE(fixture.run_until([&] { return fixture.status(kept) == 200; }));
   bool done = false;
-  const double began = rig.clock.now();
-  rig.scheduler->drain([&] { done = true; });
-  auto& crossing = rig.client();
-  crossing.send(rig.request("b"));
-  CHECK(rig.until([&] { return rig.status(crossing) == 200; }));
-  rig.run(1.0);
-  CHECK(!kept.gone);
-  kept.in.clear();
-  kept.send(rig.request("c"));
-  CHECK(rig.until([&] { return rig.status(kept) == 200; }));
-  CHECK(kept.in.find("Connection: close") == std::string::npos);
-  Fd late = connect_to(rig.address);  // refused by now
-  rig.run(0.05);
+  const double started_at = fixture.clock.now();
+  fixture.scheduler->drain([&] { done = true; });
+  auto& new_client = fixture.client();
+  new_client.send(fixture.request("b"));
+  CHECK(fixture.run_until([&] { return fixture.status(new_client) == 200; }));
+  fixture.run_for(1.0);
+  CHECK(!kept.closed);
+  kept.input.clear();
+  kept.send(fixture.request("c"));
+  CHECK(fixture.run_until([&] { return fixture.status(kept) == 200; }));
+  CHECK(kept.input.find("Connection: close") == std::string::npos);
+  Fd late = connect_to(fixture.address);  // no longer accepted
+  fixture.run_for(0.05);
   CHECK((!late || socket_error(late.get()) != 0));
-  // One that no node answers is answered before the end all the same.
-  rig.node0.reply.clear();
-  kept.in.clear();
-  kept.send(rig.request("d"));
-  REQUIRE(rig.until([&] { return done; }));
-  CHECK(rig.status(kept) != 0);
-  CHECK(rig.clock.now() < began + 2.0 + 0.7);  // the longest cut-off here is 2 s
-  CHECK(rig.scheduler->open() == 0);
+  // A request without a node's reply is still answered before the end.
+  fixture.node0.reply.clear();
+  kept.input.clear();
+  kept.send(fixture.request("d"));
+  REQUIRE(fixture.run_until([&] { return done; }));
+  CHECK(fixture.status(kept) != 0);
+  CHECK(fixture.clock.now() < started_at + 2.0 + 0.7);  // the longest deadline is 2 s
+  CHECK(fixture.scheduler->open_transactions() == 0);
 }
 
-TEST_CASE("platform: no client holds up the end, neither one that reads nothing nor one that stays") {
-  PlatformRig rig;
-  rig.node0.reply = test::answer_text(200, std::string(60000, 'x'));
-  rig.start();
-  auto& c = rig.client();
-  rig.run(0.01);
+TEST_CASE("platform: no client delays the end of a drain, whether it stops reading or stays connected") {
+  PlatformFixture fixture;
+  fixture.node0.reply = test::http_reply(200, std::string(60000, 'x'));
+  fixture.start();
+  auto& c = fixture.client();
+  fixture.run_for(0.01);
   c.stream.pause(true);
-  const int small = 2048;
-  test::each_socket([&](int fd) {
-    setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &small, sizeof small);
-    setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
+  const int buffer_bytes = 2048;
+  test::for_each_socket([&](int fd) {
+    setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &buffer_bytes, sizeof buffer_bytes);
+    setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &buffer_bytes, sizeof buffer_bytes);
   });
-  for (int i = 0; i < 20; ++i) c.send(rig.request("a" + std::to_string(i)));
-  REQUIRE(rig.until([&] { return rig.scheduler->counts().honoured > 0; }));
+  for (int i = 0; i < 20; ++i) c.send(fixture.request("a" + std::to_string(i)));
+  REQUIRE(fixture.run_until([&] { return fixture.scheduler->counts().succeeded > 0; }));
   bool done = false;
-  const double began = rig.clock.now();
-  rig.scheduler->drain([&] { done = true; });
-  auto& stays = rig.client();
-  stays.send(rig.request("b"));
-  REQUIRE(rig.until([&] { return rig.status(stays) == 200; }));
-  rig.run(2.25);
-  // Answered in the drain's last moments, it never closes its connection.
+  const double started_at = fixture.clock.now();
+  fixture.scheduler->drain([&] { done = true; });
+  auto& stays = fixture.client();
+  stays.send(fixture.request("b"));
+  REQUIRE(fixture.run_until([&] { return fixture.status(stays) == 200; }));
+  fixture.run_for(2.25);
+  // Answered at the end of the drain, this client never closes its connection.
   stays.stream.pause(true);
-  rig.node0.reply.clear();
-  stays.send(rig.request("c"));
-  CHECK(rig.until([&] { return done; }));
-  CHECK(rig.clock.now() < began + 2.0 + 0.7 + 0.5);  // 2 s is the longest cut-off; nothing is left to answer
+  fixture.node0.reply.clear();
+  stays.send(fixture.request("c"));
+  CHECK(fixture.run_until([&] { return done; }));
+  CHECK(fixture.clock.now() < started_at + 2.0 + 0.7 + 0.5);  // the longest deadline is 2 s
 }
 
-TEST_CASE("platform: the time of a pipelined request runs from when it came, not from when it is read") {
-  PlatformRig rig;
-  rig.node0.reply.clear();
-  rig.start();
-  auto& c = rig.client();
-  c.send(rig.request("a") + rig.request("b"));
-  REQUIRE(rig.until([&] { return rig.node0.came.size() == 1; }));
-  rig.run(0.3);
-  rig.node0.came[0].peer->send(test::answer_text(200, "x"));
-  REQUIRE(rig.until([&] { return rig.node0.came.size() == 2; }));
-  CHECK(std::stod(*rig.node0.came[1].request.find_field("X-Budget-Ms")) <= 710);  // of 1000
-  // One that comes alone afterwards has its whole time again.
-  rig.node0.came[1].peer->send(test::answer_text(200, "x"));
-  rig.run(0.3);
-  c.send(rig.request("d"));
-  REQUIRE(rig.until([&] { return rig.node0.came.size() == 3; }));
-  CHECK(std::stod(*rig.node0.came[2].request.find_field("X-Budget-Ms")) > 710);
+TEST_CASE("platform: the deadline of a pipelined request runs from its arrival, not from when it is read") {
+  PlatformFixture fixture;
+  fixture.node0.reply.clear();
+  fixture.start();
+  auto& c = fixture.client();
+  c.send(fixture.request("a") + fixture.request("b"));
+  REQUIRE(fixture.run_until([&] { return fixture.node0.received.size() == 1; }));
+  fixture.run_for(0.3);
+  fixture.node0.received[0].peer->send(test::http_reply(200, "x"));
+  REQUIRE(fixture.run_until([&] { return fixture.node0.received.size() == 2; }));
+  CHECK(std::stod(*fixture.node0.received[1].request.find_field("X-Budget-Ms")) <= 710);  // of 1000
+  // A later request that is not pipelined has its full budget.
+  fixture.node0.received[1].peer->send(test::http_reply(200, "x"));
+  fixture.run_for(0.3);
+  c.send(fixture.request("d"));
+  REQUIRE(fixture.run_until([&] { return fixture.node0.received.size() == 3; }));
+  CHECK(std::stod(*fixture.node0.received[2].request.find_field("X-Budget-Ms")) > 710);
 }
 
-TEST_CASE("platform: a break before the last byte was handed to the system is no connection") {
-  PlatformRig rig;
-  const int small = 2048;
-  const auto shrink = [&](int fd) {
-    setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &small, sizeof small);
-    setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
+TEST_CASE("platform: a close before the last byte is written is kConnectFailed") {
+  PlatformFixture fixture;
+  const int buffer_bytes = 2048;
+  const auto shrink_buffers = [&](int fd) {
+    setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &buffer_bytes, sizeof buffer_bytes);
+    setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &buffer_bytes, sizeof buffer_bytes);
   };
-  test::each_socket(shrink,
-                    rig.node0.server.address.port);  // its listener: what it accepts has as little room
-  rig.start();
-  REQUIRE(rig.ask(rig.request("a")) == 200);
-  rig.run(0.04);  // its connection has rested: the next one is written to it
-  test::each_socket(shrink, rig.node0.server.address.port);
-  rig.node0.came[0].peer->stream.pause(true);
-  rig.node0.server.down();
-  rig.client().send(
+  test::for_each_socket(
+      shrink_buffers,
+      fixture.node0.server.address.port);  // accepted sockets inherit the listener's buffer sizes
+  fixture.start();
+  REQUIRE(fixture.send_and_wait(fixture.request("a")) == 200);
+  fixture.run_for(0.04);  // the reuse delay passes
+  test::for_each_socket(shrink_buffers, fixture.node0.server.address.port);
+  fixture.node0.received[0].peer->stream.pause(true);
+  fixture.node0.server.stop_listening();
+  fixture.client().send(
       "PUT /api/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: app\r\nX-Call-Id: w\r\n"
       "X-Call-Class: write\r\nTier: gold\r\nX-Budget-Ms: 1000\r\nIO-Info: units=2,shard=0,hosts=1\r\n"
       "Idempotency-Key: k\r\nContent-Length: 65536\r\n\r\n" +
       std::string(65536, 'x'));
-  REQUIRE(rig.until([&] { return rig.scheduler->counts().dispatched == 2; }));
-  rig.run(0.02);
-  CHECK(outcome(rig, Outcome::kConnectFailed) == 0);
-  rig.node0.came[0].peer->stream.close();
-  REQUIRE(rig.until([&] { return outcome(rig, Outcome::kConnectFailed) > 0; }, 0.2));
-  CHECK(outcome(rig, Outcome::kReset) == 0);
+  REQUIRE(fixture.run_until([&] { return fixture.scheduler->counts().dispatched == 2; }));
+  fixture.run_for(0.02);
+  CHECK(outcome(fixture, Outcome::kConnectFailed) == 0);
+  fixture.node0.received[0].peer->stream.close();
+  REQUIRE(fixture.run_until([&] { return outcome(fixture, Outcome::kConnectFailed) > 0; }, 0.2));
+  CHECK(outcome(fixture, Outcome::kReset) == 0);
 }
 
-TEST_CASE("platform: a new configuration's discovery is asked at once, from what is known") {
-  PlatformRig rig;
-  rig.start();
-  REQUIRE(rig.discovery.asked.size() == 1);
-  CHECK(rig.discovery.asked[0] == "GET /v1/servers?follow=1&since=7");
-  test::ScriptDiscovery other(rig.loop);
-  rig.json["discovery"] = other.server.address.to_string();
-  rig.scheduler->reload(rig.config());
-  REQUIRE(rig.until([&] { return other.asked.size() == 1; }));
-  other.tell(rig.news(8, false, {rig.entry("s-0", rig.node1.server.address, 0)}));
-  rig.run(0.05);
-  CHECK(rig.ask(rig.request("a")) == 200);
-  CHECK(rig.node1.came.size() == 1);  // the address is new, the node is the same
-  CHECK(rig.scheduler->nodes() == 2);
-  rig.json["seed"] = "no";
-  CHECK_THROWS_AS(rig.config(), platform::ConfigFault);
-  rig.json["seed"] = "0";
-  rig.scheduler->reload(rig.config());  // the same address: nothing is asked again
-  rig.run(0.1);
-  CHECK(other.asked.size() == 1);
+TEST_CASE("platform: a reloaded discovery address is requested at once, from the known version") {
+  PlatformFixture fixture;
+  fixture.start();
+  REQUIRE(fixture.discovery.requests.size() == 1);
+  CHECK(fixture.discovery.requests[0] == "GET /v1/servers?follow=1&since=7");
+  test::ScriptedDiscovery other(fixture.loop);
+  fixture.json["discovery"] = other.server.address.to_string();
+  fixture.scheduler->reload(fixture.config());
+  REQUIRE(fixture.run_until([&] { return other.requests.size() == 1; }));
+  other.push(fixture.update_text(8, false, {fixture.entry_text("s-0", fixture.node1.server.address, 0)}));
+  fixture.run_for(0.05);
+  CHECK(fixture.send_and_wait(fixture.request("a")) == 200);
+  CHECK(fixture.node1.received.size() == 1);  // the same node at its new address
+  CHECK(fixture.scheduler->node_count() == 2);
+  fixture.json["seed"] = "no";
+  CHECK_THROWS_AS(fixture.config(), platform::ConfigError);
+  fixture.json["seed"] = "0";
+  fixture.scheduler->reload(fixture.config());  // the same address: no new request
+  fixture.run_for(0.1);
+  CHECK(other.requests.size() == 1);
 }
 
-TEST_CASE("platform: a watch that goes silent, ends or can't be read is asked for again") {
-  PlatformRig rig;
+TEST_CASE("platform: a watch that is silent, closed or invalid is requested again") {
+  PlatformFixture fixture;
   SUBCASE("silent") {
-    rig.start();
-    // What changes meanwhile counts as told after 6 s: by then it must have been asked for, and be heard.
-    const double began = rig.clock.now();
-    rig.discovery.first = rig.news(8, false, {rig.entry("s-0", rig.node0.server.address, 0, "Terminating")});
-    CHECK(rig.until([&] { return rig.discovery.asked.size() == 2; }, 9));
-    rig.run(0.05);
-    CHECK(rig.clock.now() < began + 4.0);
-    CHECK(rig.ask(rig.request("a")) == 503);
-    CHECK(rig.node0.came.empty());
+    fixture.start();
+    // An update must take effect within 6 s, although the watch is silent.
+    const double started_at = fixture.clock.now();
+    fixture.discovery.first_line = fixture.update_text(
+        8, false, {fixture.entry_text("s-0", fixture.node0.server.address, 0, "Terminating")});
+    CHECK(fixture.run_until([&] { return fixture.discovery.requests.size() == 2; }, 9));
+    fixture.run_for(0.05);
+    CHECK(fixture.clock.now() < started_at + 4.0);
+    CHECK(fixture.send_and_wait(fixture.request("a")) == 503);
+    CHECK(fixture.node0.received.empty());
   }
-  SUBCASE("ends") {
-    rig.start();
-    rig.discovery.server.peers.back()->stream.close();
-    CHECK(rig.until([&] { return rig.discovery.asked.size() == 2; }, 3));
+  SUBCASE("closed") {
+    fixture.start();
+    fixture.discovery.server.peers.back()->stream.close();
+    CHECK(fixture.run_until([&] { return fixture.discovery.requests.size() == 2; }, 3));
   }
-  SUBCASE("never answers") {
-    rig.discovery.answers = false;
-    rig.start();
-    CHECK(rig.until([&] { return rig.discovery.asked.size() == 2; }, 4));
+  SUBCASE("no response") {
+    fixture.discovery.responds = false;
+    fixture.start();
+    CHECK(fixture.run_until([&] { return fixture.discovery.requests.size() == 2; }, 4));
   }
-  SUBCASE("noise: the whole list is asked for") {
-    rig.start();
-    rig.discovery.tell("{\"generation\":");
-    CHECK(rig.until([&] { return rig.discovery.asked.size() == 2; }, 3));
-    CHECK(rig.discovery.asked.back() == "GET /v1/servers?follow=1");
+  SUBCASE("invalid line: the full list is requested") {
+    fixture.start();
+    fixture.discovery.push("{\"generation\":");
+    CHECK(fixture.run_until([&] { return fixture.discovery.requests.size() == 2; }, 3));
+    CHECK(fixture.discovery.requests.back() == "GET /v1/servers?follow=1");
   }
-  SUBCASE("a line that stops short: the entries that are whole count, the version does not") {
-    rig.start();
-    const std::string whole = rig.news(8, false,
-                                       {rig.entry("s-0", rig.node0.server.address, 0, "Terminating"),
-                                        rig.entry("s-1", rig.node1.server.address, 1, "Terminating")});
-    auto& peer = *rig.discovery.server.peers.back();
+  SUBCASE("incomplete line: its complete entries apply, its version does not") {
+    fixture.start();
+    const std::string whole =
+        fixture.update_text(8, false,
+                            {fixture.entry_text("s-0", fixture.node0.server.address, 0, "Terminating"),
+                             fixture.entry_text("s-1", fixture.node1.server.address, 1, "Terminating")});
+    auto& peer = *fixture.discovery.server.peers.back();
     const std::string part = whole.substr(0, whole.size() - 20);
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", part.size());
     peer.send(size + part + "\r\n");
-    rig.run(0.05);
-    CHECK(rig.ask(rig.request("a", "", 0)) == 503);
-    CHECK(rig.node0.came.empty());
-    CHECK(rig.ask(rig.request("b", "", 1)) == 200);
+    fixture.run_for(0.05);
+    CHECK(fixture.send_and_wait(fixture.request("a", "", 0)) == 503);
+    CHECK(fixture.node0.received.empty());
+    CHECK(fixture.send_and_wait(fixture.request("b", "", 1)) == 200);
     peer.stream.close();
-    CHECK(rig.until([&] { return rig.discovery.asked.size() == 2; }, 3));
-    CHECK(rig.discovery.asked.back() == "GET /v1/servers?follow=1&since=7");
+    CHECK(fixture.run_until([&] { return fixture.discovery.requests.size() == 2; }, 3));
+    CHECK(fixture.discovery.requests.back() == "GET /v1/servers?follow=1&since=7");
   }
-  SUBCASE("empty lines are enough") {
-    rig.start();
+  SUBCASE("empty lines keep the watch alive") {
+    fixture.start();
     for (int i = 0; i < 6; ++i) {
-      rig.run(2);
-      rig.discovery.tell("");
+      fixture.run_for(2);
+      fixture.discovery.push("");
     }
-    CHECK(rig.discovery.asked.size() == 1);
+    CHECK(fixture.discovery.requests.size() == 1);
   }
-  SUBCASE("a bad entry is left out, the others count") {
-    rig.start();
-    rig.discovery.tell(rig.news(8, false,
-                                {rig.entry("s-9", rig.node0.server.address, 0, "Napping"),
-                                 rig.entry("s-0", rig.node0.server.address, 0, "Terminating")}));
-    rig.run(0.05);
-    CHECK(rig.scheduler->nodes() == 2);
-    CHECK(rig.ask(rig.request("a")) == 503);
+  SUBCASE("an invalid entry is skipped, the others apply") {
+    fixture.start();
+    fixture.discovery.push(
+        fixture.update_text(8, false,
+                            {fixture.entry_text("s-9", fixture.node0.server.address, 0, "Napping"),
+                             fixture.entry_text("s-0", fixture.node0.server.address, 0, "Terminating")}));
+    fixture.run_for(0.05);
+    CHECK(fixture.scheduler->node_count() == 2);
+    CHECK(fixture.send_and_wait(fixture.request("a")) == 503);
   }
 }
 
-TEST_CASE("platform: a thousand node ids and ten thousand connections leave nothing behind") {
-  const auto descriptors = [] {
+TEST_CASE("platform: a thousand node ids and ten thousand connections leak nothing") {
+  const auto open_descriptors = [] {
     std::size_t n = 0;
     for ([[maybe_unused]] const auto& e : std::filesystem::directory_iterator("/proc/self/fd")) ++n;
     return n;
   };
-  PlatformRig rig;
-  rig.start();
-  CHECK(rig.ask(rig.request("first")) == 200);
-  rig.clients.clear();
-  rig.run(0.05);
-  const auto before = descriptors();
+  PlatformFixture fixture;
+  fixture.start();
+  CHECK(fixture.send_and_wait(fixture.request("first")) == 200);
+  fixture.clients.clear();
+  fixture.run_for(0.05);
+  const auto before = open_descriptors();
   for (int i = 0; i < 1000; ++i) {
     const std::string id = "n-" + std::to_string(i);
     const std::string last = "n-" + std::to_string(i - 1);
-    rig.discovery.tell(rig.news(
-        8 + i, false,
-        {rig.entry(id, rig.node1.server.address, 1), rig.entry(last, rig.node1.server.address, 1, "Gone")}));
-    rig.run(0.03);
+    fixture.discovery.push(
+        fixture.update_text(8 + i, false,
+                            {fixture.entry_text(id, fixture.node1.server.address, 1),
+                             fixture.entry_text(last, fixture.node1.server.address, 1, "Gone")}));
+    fixture.run_for(0.03);
   }
-  CHECK(rig.scheduler->nodes() < 400);  // those of the last ten seconds
+  CHECK(fixture.scheduler->node_count() < 400);  // those within the retention of 10 s
   for (int i = 0; i < 10000; ++i) {
-    rig.clients.push_back(std::make_unique<test::Peer>(rig.loop, connect_to(rig.address), true));
-    if (i % 50 == 0) rig.clients.back()->send(rig.request("c" + std::to_string(i)));
-    if (rig.clients.size() == 50) {
-      rig.run(0.02);
-      rig.clients.clear();
+    fixture.clients.push_back(std::make_unique<test::Peer>(fixture.loop, connect_to(fixture.address), true));
+    if (i % 50 == 0) fixture.clients.back()->send(fixture.request("c" + std::to_string(i)));
+    if (fixture.clients.size() == 50) {
+      fixture.run_for(0.02);
+      fixture.clients.clear();
     }
   }
-  rig.clients.clear();
-  rig.run(0.2);
-  CHECK(rig.scheduler->front().clients() == 0);
-  CHECK(rig.scheduler->open() == 0);
-  CHECK(descriptors() <= before + 2);
+  fixture.clients.clear();
+  fixture.run_for(0.2);
+  CHECK(fixture.scheduler->client_server().connection_count() == 0);
+  CHECK(fixture.scheduler->open_transactions() == 0);
+  CHECK(open_descriptors() <= before + 2);
 }
 
-TEST_CASE("platform: clients that take every connection make way for one that asks") {
-  PlatformRig rig(96);
-  rig.start();
-  for (int i = 0; i < 100; ++i) rig.client();
-  rig.run(0.05);
-  CHECK(rig.ask(rig.request("a")) == 200);
-  CHECK(rig.scheduler->front().clients() <= 36);
-  CHECK(rig.scheduler->front().counts().made_way > 0);
+TEST_CASE("platform: idle clients that use all descriptors are evicted for a new client") {
+  PlatformFixture fixture(96);
+  fixture.start();
+  for (int i = 0; i < 100; ++i) fixture.client();
+  fixture.run_for(0.05);
+  CHECK(fixture.send_and_wait(fixture.request("a")) == 200);
+  CHECK(fixture.scheduler->client_server().connection_count() <= 36);
+  CHECK(fixture.scheduler->client_server().counts().evicted > 0);
 }
