--- a/src/gateway/match.cpp
+++ b/src/gateway/match.cpp
@@ -10,7 +10,7 @@
 
 std::vector<double> shares(const expr::RuleSet& rules) {
   std::vector<double> out;
-  for (std::size_t i = 0; i < rules.size(); ++i) out.push_back(rules.rule(static_cast<int>(i)).most_share);
+  for (std::size_t i = 0; i < rules.size(); ++i) out.push_back(rules.rule(static_cast<int>(i)).max_share);
   return out;
 }
 
@@ -79,9 +79,9 @@
   t.volume = first_index_[range] + static_cast<int>(sqe.nsid - sorted_[range].first);
   t.shard = append ? -1 : static_cast<int>(zone % config_.shards);
   // The key of a new object is its client's label; without one it has none.
-  t.has_key = !append || sqe.label() != 0;
+  t.has_key = !append || sqe.idempotency_key() != 0;
   // A place of one volume has one key of its own; the odd factor spreads volumes over all keys.
-  t.key = append ? sqe.label() : sqe.nsid * 0x9e3779b97f4a7c15ULL + lba / config_.key_blocks;
+  t.key = append ? sqe.idempotency_key() : sqe.nsid * 0x9e3779b97f4a7c15ULL + lba / config_.key_blocks;
   if (rules().size() > 0) by_rules(sqe, client, now, wall, m);
   return m;
 }
@@ -101,27 +101,27 @@
   set(FieldId::kLba, Value(append ? std::uint64_t{0} : sqe.slba()));
   set(FieldId::kBlocks, Value(std::uint64_t{sqe.blocks()}));
   set(FieldId::kLength, Value(std::uint64_t{sqe.blocks()} * config_.block_bytes));
-  set(FieldId::kLabel, Value(sqe.label()));
+  set(FieldId::kLabel, Value(sqe.idempotency_key()));
   set(FieldId::kClientName, Value(std::string_view(client.name)));
   set(FieldId::kClientAddress, Value(client.address));
-  set(FieldId::kTry, Value(static_cast<std::uint64_t>(sqe.client_try())));
+  set(FieldId::kTry, Value(static_cast<std::uint64_t>(sqe.client_attempt())));
   local_time(wall, record);
 
-  gate_.landed(now);
+  gate_.count_transaction(now);
   int from = 0;
   while (true) {
     const auto found = rules().match(machine_, record, from);
-    m.failures += found.failures;
-    if (found.failed >= 0) m.failed = found.failed;
+    m.failures += found.failure_count;
+    if (found.last_failed_rule >= 0) m.failed = found.last_failed_rule;
     if (found.rule < 0) return;
-    if (gate_.passes(now, found.rule)) {
+    if (gate_.try_apply(now, found.rule)) {
       m.rule = found.rule;
       break;
     }
     from = found.rule + 1;
   }
   const expr::Rule& rule = rules().rule(m.rule);
-  m.turn_back = !rule.turn_back.empty();
+  m.turn_back = !rule.reject_reason.empty();
   if (rule.profile >= 0) m.transaction.profile = rule.profile;
   const auto failed = [&] {
     ++m.failures;
@@ -130,15 +130,15 @@
   Value v;
   if (rule.units) {
     // A number that no transaction may have is taken as a failure: the ordinary one stands.
-    if (machine_.run(*rule.units, record, v) != expr::Failure::kNone || v.u < 1 ||
-        v.u > config_.settings.max_transaction_units)
+    if (machine_.run(*rule.units, record, v) != expr::Failure::kNone || v.as_uint < 1 ||
+        v.as_uint > config_.settings.max_transaction_units)
       failed();
-    else m.transaction.units = static_cast<double>(v.u);
+    else m.transaction.units = static_cast<double>(v.as_uint);
   }
   if (rule.key) {
     if (machine_.run(*rule.key, record, v) != expr::Failure::kNone) return failed();
     m.transaction.has_key = true;
-    m.transaction.key = v.u;
+    m.transaction.key = v.as_uint;
   }
 }
 
--- a/tests/gateway/ledger_test.cpp
+++ b/tests/gateway/ledger_test.cpp
@@ -17,12 +17,12 @@
 
 struct Entries {
   explicit Entries(const std::string& folder) {
-    store::DiskFiles files;
+    store::PosixFileSystem files;
     ledger::Visitor visitor;
     visitor.entry = [&](const ledger::wire::Entry& e, std::string_view) { all.push_back(e); };
-    store::Fault fault;
+    store::FileError fault;
     good = ledger::read_ledger(files, folder, visitor, facts, fault);
-    INFO(fault.shown());
+    INFO(fault.to_string());
     CHECK(good);
   }
   bool good = false;
@@ -47,7 +47,7 @@
   q.opcode = nvme::opcode::kRead;
   q.nsid = 2;
   q.set_blocks(2);
-  q.set_label(1001);
+  q.set_idempotency_key(1001);
   c.host->submit(2, q, nullptr, 2 * 4096);
   REQUIRE(r.until([&] { return c.answers.size() == 2; }));
   c.read(top, 5);
