--- a/bench/tenants.cpp
+++ b/bench/tenants.cpp
@@ -8,7 +8,7 @@
 #include <deque>
 #include <iterator>
 
-#include "../tests/gateway/rig.h"
+#include "../tests/gateway/gateway_fixture.h"
 
 using namespace heronworks;
 using namespace heronworks::test;
@@ -23,20 +23,20 @@
 // Serves what its stand-in keeps, one after the other; drops what has timed out, as full what is over 64.
 class Server {
  public:
-  Server(Loop& loop, ScriptNode& node) : loop_(loop), node_(node) { node_.answers.reset(); }
+  Server(Loop& loop, ScriptedNode& node) : loop_(loop), node_(node) { node_.auto_response.reset(); }
   void look() {
-    while (seen_ < node_.came.size()) {
-      if (queue_.size() >= 64) node_.answer(seen_, st::kCommandInterrupted);
+    while (seen_ < node_.commands.size()) {
+      if (queue_.size() >= 64) node_.respond(seen_, st::kCommandInterrupted);
       else queue_.push_back({seen_, loop_.now()});
       ++seen_;
     }
     const double now = loop_.now();
     while (!queue_.empty() && now >= busy_until_) {
       const auto [i, came] = queue_.front();
-      const auto& c = node_.came[i].sqe;
+      const auto& c = node_.commands[i].sqe;
       if (!working_) {
         if (now > came + c.time_left()) {
-          node_.answer(i, st::kAbortRequested);
+          node_.respond(i, st::kAbortRequested);
           queue_.pop_front();
           continue;
         }
@@ -45,14 +45,14 @@
         continue;
       }
       working_ = false;
-      node_.answer(i);
+      node_.respond(i);
       queue_.pop_front();
     }
   }
 
  private:
   Loop& loop_;
-  ScriptNode& node_;
+  ScriptedNode& node_;
   std::deque<std::pair<std::size_t, double>> queue_;  // bounded above
   std::size_t seen_ = 0;
   double busy_until_ = 0;
@@ -68,9 +68,9 @@
   std::vector<double> took;  // of what was honoured
 };
 
-using Press = std::function<void(Rig&, std::vector<ScriptClient*>&, std::uint64_t& token)>;
+using Press = std::function<void(GatewayFixture&, std::vector<TestClient*>&, std::uint64_t& token)>;
 
-void command(ScriptClient& c, std::uint64_t token, std::uint8_t op, std::uint64_t lba, std::uint32_t blocks,
+void command(TestClient& c, std::uint64_t token, std::uint8_t op, std::uint64_t lba, std::uint32_t blocks,
              double left, std::uint64_t label) {
   nvme::Sqe q;
   q.opcode = op;
@@ -85,7 +85,7 @@
 }
 
 Result measure(const Press& press, int connections) {
-  Rig r("[[volumes]]\nfirst = 2\nplan = \"base\"\n");
+  GatewayFixture r("[[volumes]]\nfirst = 2\nplan = \"base\"\n");
   auto& s = r.config.settings;
   s.plans[0].usual_rate = s.plans[0].reservation = kQuietRate;
   s.share_benefit_factor = 0.35;
@@ -97,7 +97,7 @@
   r.start();
   Server servers[] = {{r.loop, *r.nodes[0]}, {r.loop, *r.nodes[1]}};
   auto& quiet = r.client();
-  std::vector<ScriptClient*> pressing;
+  std::vector<TestClient*> pressing;
   for (int i = 0; i < connections; ++i) pressing.push_back(&r.client());
   Result out;
   std::map<std::uint64_t, double> at;
@@ -114,14 +114,14 @@
     if (press) press(r, pressing, pressed);
     r.loop.run_once(0.001);
     for (Server& v : servers) v.look();
-    out.unread = std::max(out.unread, r.scheduler->unread());
-    for (auto& [t, c] : quiet.answers) {
+    out.unread = std::max(out.unread, r.scheduler->unsent_bytes());
+    for (auto& [t, c] : quiet.completions) {
       const double took = c.at - at[t];
       if (!c.status().ok()) ++out.turned_back;
       else ++(took <= 0.5 ? out.in_time : out.late), out.took.push_back(took);
     }
-    quiet.answers.clear();
-    for (ScriptClient* c : pressing) c->answers.clear();
+    quiet.completions.clear();
+    for (TestClient* c : pressing) c->completions.clear();
   }
   std::sort(out.took.begin(), out.took.end());
   return out;
@@ -131,16 +131,15 @@
 // they send and never read, or slowly.
 struct Idle {
   explicit Idle(double every = 0) : every_(every) {}
-  void press(Rig& r, std::uint64_t& token) {
-    while (clients.size() < 4)
-      clients.push_back(std::make_unique<ScriptClient>(loop, r.scheduler->address()));
+  void press(GatewayFixture& r, std::uint64_t& token) {
+    while (clients.size() < 4) clients.push_back(std::make_unique<TestClient>(loop, r.scheduler->address()));
     for (auto& c : clients) {
       if (!c->host->ready()) return loop.run_once(0);
     }
     if (every_ > 0 && clock.now() >= next_) {
       next_ = clock.now() + every_;
       loop.run_once(0);
-      for (auto& c : clients) c->answers.clear();
+      for (auto& c : clients) c->completions.clear();
     }
     for (auto& c : clients) {
       while (c->host->has_room())
@@ -149,7 +148,7 @@
   }
   MonotonicClock clock;
   Loop loop{clock};
-  std::vector<std::unique_ptr<ScriptClient>> clients;
+  std::vector<std::unique_ptr<TestClient>> clients;
 
  private:
   const double
@@ -160,24 +159,24 @@
 // Bytes of answers that one connection can make the scheduler hold: largest reads at full depth, nodes that
 // answer at once, and a client that reads nothing.
 double unread_at_most() {
-  Rig r("[[volumes]]\nfirst = 2\nplan = \"base\"\n");
+  GatewayFixture r("[[volumes]]\nfirst = 2\nplan = \"base\"\n");
   r.start();
   Loop loop(r.clock);
-  ScriptClient c(loop, r.scheduler->address());
+  TestClient c(loop, r.scheduler->address());
   while (!c.host->ready()) loop.run_once(0), r.loop.run_once(0.001);
   for (std::uint64_t n = 0; c.host->has_room(); ++n) command(c, n, nvme::opcode::kRead, n % 2 * 64, 64, 5, n);
   std::size_t most = 0;
   const double end = r.clock.now() + 2;
   while (r.clock.now() < end) {
     r.loop.run_once(0.001);
-    most = std::max(most, r.scheduler->unread());
+    most = std::max(most, r.scheduler->unsent_bytes());
   }
   return 1e-6 * static_cast<double>(most);
 }
 
-void each(std::vector<ScriptClient*>& clients, std::uint64_t& token, std::size_t most,
-          const std::function<void(ScriptClient&, std::uint64_t)>& one) {
-  for (ScriptClient* c : clients) {
+void each(std::vector<TestClient*>& clients, std::uint64_t& token, std::size_t most,
+          const std::function<void(TestClient&, std::uint64_t)>& one) {
+  for (TestClient* c : clients) {
     while (c->host->ready() && c->host->has_room() && c->host->out() < most) one(*c, token++);
   }
 }
@@ -194,46 +193,44 @@
   } ways[] = {
       {"nobody presses", 0, nullptr},
       {"full depth on 8 connections", 8,
-       [](Rig&, auto& c, auto& t) {
+       [](GatewayFixture&, auto& c, auto& t) {
          each(c, t, 126,
-              [](ScriptClient& k, std::uint64_t n) { command(k, n, kRead, n % 2 * 64 + n % 60, 1, 0, n); });
+              [](TestClient& k, std::uint64_t n) { command(k, n, kRead, n % 2 * 64 + n % 60, 1, 0, n); });
        }},
       {"largest transactions", 2,
-       [](Rig&, auto& c, auto& t) {
-         each(c, t, 64, [](ScriptClient& k, std::uint64_t n) { command(k, n, kRead, n % 2 * 64, 64, 0, n); });
+       [](GatewayFixture&, auto& c, auto& t) {
+         each(c, t, 64, [](TestClient& k, std::uint64_t n) { command(k, n, kRead, n % 2 * 64, 64, 0, n); });
        }},
       {"one hot key, in order", 4,
-       [](Rig&, auto& c, auto& t) {
-         each(c, t, 126, [](ScriptClient& k, std::uint64_t n) { command(k, n, kWrite, 0, 1, 0, n); });
+       [](GatewayFixture&, auto& c, auto& t) {
+         each(c, t, 126, [](TestClient& k, std::uint64_t n) { command(k, n, kWrite, 0, 1, 0, n); });
        }},
       {"60 ms left", 2,
-       [](Rig&, auto& c, auto& t) {
-         each(c, t, 32,
-              [](ScriptClient& k, std::uint64_t n) { command(k, n, kRead, n % 2 * 64, 4, 0.06, n); });
+       [](GatewayFixture&, auto& c, auto& t) {
+         each(c, t, 32, [](TestClient& k, std::uint64_t n) { command(k, n, kRead, n % 2 * 64, 4, 0.06, n); });
        }},
       {"an hour left", 4,
-       [](Rig&, auto& c, auto& t) {
-         each(c, t, 126, [](ScriptClient& k, std::uint64_t n) {
-           command(k, n, kRead, n % 2 * 64 + n % 60, 1, 3600, n);
-         });
+       [](GatewayFixture&, auto& c, auto& t) {
+         each(c, t, 126,
+              [](TestClient& k, std::uint64_t n) { command(k, n, kRead, n % 2 * 64 + n % 60, 1, 3600, n); });
        }},
       {"one label for all", 4,
-       [](Rig&, auto& c, auto& t) {
+       [](GatewayFixture&, auto& c, auto& t) {
          each(c, t, 64,
-              [](ScriptClient& k, std::uint64_t n) { command(k, n, kWrite, n % 2 * 64 + n % 60, 1, 0, 7); });
+              [](TestClient& k, std::uint64_t n) { command(k, n, kWrite, n % 2 * 64 + n % 60, 1, 0, 7); });
        }},
       {"reads no answers", 0,
-       [idle = std::make_shared<Idle>()](Rig& r, auto&, auto& t) { idle->press(r, t); }},
+       [idle = std::make_shared<Idle>()](GatewayFixture& r, auto&, auto& t) { idle->press(r, t); }},
       {"reads slowly", 0,
-       [idle = std::make_shared<Idle>(0.25)](Rig& r, auto&, auto& t) { idle->press(r, t); }},
+       [idle = std::make_shared<Idle>(0.25)](GatewayFixture& r, auto&, auto& t) { idle->press(r, t); }},
       {"lands and leaves", 1,
-       [](Rig& r, auto& c, auto& t) {
-         ScriptClient& k = *c[0];
+       [](GatewayFixture& r, auto& c, auto& t) {
+         TestClient& k = *c[0];
          if (k.host && k.host->ready()) {
            for (int i = 0; i < 40; ++i, ++t) command(k, t, kRead, t % 2 * 64 + t % 60, 1, 0, t);
            k.host->close("leaves");
-         } else if (!k.reason.empty()) {
-           k.reason.clear();
+         } else if (!k.down_reason.empty()) {
+           k.down_reason.clear();
            nvme::HostOptions o;
            o.address = r.scheduler->address();
            o.subsystem = "nqn.2026-11.org.heronworks:gateway";
--- a/bench/wire.cpp
+++ b/bench/wire.cpp
@@ -33,12 +33,12 @@
   }
   void log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t, std::uint64_t offset,
                 std::uint32_t length) override {
-    const auto bytes = gateway::encode_list(nodes, 1, "x");
+    const auto bytes = gateway::encode_endpoint_list(nodes, 1, "x");
     target->complete(connection, cid, {}, 0,
                      nvme::View(bytes).subspan(offset, std::min<std::size_t>(length, bytes.size() - offset)));
   }
   void closed(nvme::ConnectionId) override {}
-  std::vector<gateway::ListedNode> nodes;
+  std::vector<gateway::ListedEndpoint> nodes;
   std::unique_ptr<nvme::Target> target;
 
  private:
@@ -127,8 +127,8 @@
                       << rules;
   return part([&](auto tell) {
     config::Problems problems;
-    const auto c = config::read_gateway(path, problems);
-    for (const auto& p : problems) std::fprintf(stderr, "%s\n", p.shown().c_str());
+    const auto c = config::read_gateway_config(path, problems);
+    for (const auto& p : problems) std::fprintf(stderr, "%s\n", p.to_string().c_str());
     const MonotonicClock clock;
     Loop loop(clock);
     Log log("", "error", 100);
--- a/src/cli/expr.cpp
+++ b/src/cli/expr.cpp
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "config/rules.h"
+#include "config/expression_rules.h"
 #include "expr/rules.h"
 
 namespace heronworks::cli {
@@ -76,7 +76,7 @@
 int expr_check(const std::string& path) {
   config::Problems problems;
   const auto rules = config::read_rules_file(path, problems);
-  for (const auto& p : problems) std::fprintf(stderr, "%s\n", p.shown().c_str());
+  for (const auto& p : problems) std::fprintf(stderr, "%s\n", p.to_string().c_str());
   if (!rules) return 2;
   std::printf("%zu rules of %zu different parts, %zu of them shared; %llu steps at most\n", rules->set.size(),
               rules->set.parts(), rules->set.shared(), static_cast<unsigned long long>(rules->set.cost()));
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -14,8 +14,8 @@
 
 std::optional<config::GatewayConfig> read(const std::string& path) {
   config::Problems problems;
-  auto c = config::read_gateway(path, problems);
-  for (const auto& p : problems) std::fprintf(stderr, "%s\n", p.shown().c_str());
+  auto c = config::read_gateway_config(path, problems);
+  for (const auto& p : problems) std::fprintf(stderr, "%s\n", p.to_string().c_str());
   return c;
 }
 
@@ -24,8 +24,8 @@
   if (!c) return 2;
   std::printf("scheduler %d of %d listens on %s as %s\n", c->settings.scheduler_index,
               c->settings.scheduler_count, c->listen.to_string().c_str(), c->subsystem.c_str());
-  std::printf("watches the node list at %s, saved in %s\n", c->list.to_string().c_str(),
-              c->saved_list.empty() ? "no file" : c->saved_list.c_str());
+  std::printf("watches the node list at %s, saved in %s\n", c->discovery_address.to_string().c_str(),
+              c->saved_list_path.empty() ? "no file" : c->saved_list_path.c_str());
   std::uint64_t volumes = 0;
   double reserved = 0;
   for (const auto& v : c->volumes) {
@@ -59,7 +59,7 @@
   std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow is a failed write like any other
   const MonotonicClock clock;
   Loop loop(clock);
-  Log log(c->log_file, c->log_level, c->log_lines);
+  Log log(c->log_file, c->log_level, c->max_log_lines);
   gateway::Scheduler scheduler(loop, *c, log);
   log.info(loop.now(), "started",
            {{"address", scheduler.address().to_string()}, {"index", c->settings.scheduler_index}});
--- a/src/config/reader.cpp
+++ b/src/config/reader.cpp
@@ -1,4 +1,3 @@
-// TOML with places: see reader.h.
 #include "config/reader.h"
 
 #include <algorithm>
@@ -10,7 +9,7 @@
 namespace heronworks::config {
 namespace {
 
-std::string shown(double value) {
+std::string to_text(double value) {
   std::ostringstream out;
   out << value;
   return out.str();
@@ -18,84 +17,85 @@
 
 }  // namespace
 
-std::string Problem::shown() const {
+std::string Problem::to_string() const {
   return file + ":" + std::to_string(line) + ":" + std::to_string(column) + ": " +
          (field.empty() ? "" : field + ": ") + text;
 }
 
-void Section::complain(const std::string& key, const std::string& text) const {
+void Section::add_problem(const std::string& key, const std::string& text) const {
   const toml::node* node = key.empty() ? nullptr : table_->get(key);
-  const auto& place = node ? node->source() : table_->source();
-  problems_->push_back({file_, place.begin.line, place.begin.column, field(key), text});
+  const auto& source = node ? node->source() : table_->source();
+  problems_->push_back({file_, source.begin.line, source.begin.column, field(key), text});
 }
 
 const toml::node* Section::find(const std::string& key) {
-  known_.insert(key);
+  known_keys_.insert(key);
   return table_->get(key);
 }
 
-double Section::number(const std::string& key, double absent, double least, double most) {
+double Section::number(const std::string& key, double default_value, double min, double max) {
   const toml::node* node = find(key);
-  if (!node) return absent;
+  if (!node) return default_value;
   const auto value = node->value<double>();
-  if (!value || !std::isfinite(*value)) return complain(key, "must be a number"), absent;
-  if (*value < least || *value > most) {
-    return complain(key, "must be from " + shown(least) + " to " + shown(most) + ", is " + shown(*value)),
-           absent;
+  if (!value || !std::isfinite(*value)) return add_problem(key, "must be a number"), default_value;
+  if (*value < min || *value > max) {
+    return add_problem(key,
+                       "must be from " + to_text(min) + " to " + to_text(max) + ", is " + to_text(*value)),
+           default_value;
   }
   return *value;
 }
 
-double Section::need_number(const std::string& key, double least, double most) {
-  if (!has(key)) return find(key), complain("", "'" + key + "' is missing"), least;
-  return number(key, least, least, most);
+double Section::require_number(const std::string& key, double min, double max) {
+  if (!has(key)) return find(key), add_problem("", "'" + key + "' is missing"), min;
+  return number(key, min, min, max);
 }
 
-std::int64_t Section::integer(const std::string& key, std::int64_t absent, std::int64_t least,
-                              std::int64_t most) {
+std::int64_t Section::integer(const std::string& key, std::int64_t default_value, std::int64_t min,
+                              std::int64_t max) {
   const toml::node* node = find(key);
-  if (!node) return absent;
+  if (!node) return default_value;
   const auto value = node->value_exact<std::int64_t>();
-  if (!value) return complain(key, "must be a whole number"), absent;
-  if (*value < least || *value > most) {
-    return complain(key, "must be from " + std::to_string(least) + " to " + std::to_string(most) + ", is " +
-                             std::to_string(*value)),
-           absent;
+  if (!value) return add_problem(key, "must be an integer"), default_value;
+  if (*value < min || *value > max) {
+    return add_problem(key, "must be from " + std::to_string(min) + " to " + std::to_string(max) + ", is " +
+                                std::to_string(*value)),
+           default_value;
   }
   return *value;
 }
 
-std::int64_t Section::need_integer(const std::string& key, std::int64_t least, std::int64_t most) {
-  if (!has(key)) return find(key), complain("", "'" + key + "' is missing"), least;
-  return integer(key, least, least, most);
+std::int64_t Section::require_integer(const std::string& key, std::int64_t min, std::int64_t max) {
+  if (!has(key)) return find(key), add_problem("", "'" + key + "' is missing"), min;
+  return integer(key, min, min, max);
 }
 
-std::string Section::text(const std::string& key, const std::string& absent) {
+std::string Section::text(const std::string& key, const std::string& default_value) {
   const toml::node* node = find(key);
-  if (!node) return absent;
+  if (!node) return default_value;
   const auto value = node->value_exact<std::string>();
-  if (!value) return complain(key, "must be a text"), absent;
+  if (!value) return add_problem(key, "must be a string"), default_value;
   return *value;
 }
 
-std::string Section::need_text(const std::string& key) {
-  if (!has(key)) return find(key), complain("", "'" + key + "' is missing"), "";
+std::string Section::require_text(const std::string& key) {
+  if (!has(key)) return find(key), add_problem("", "'" + key + "' is missing"), "";
   return text(key, "");
 }
 
-bool Section::flag(const std::string& key, bool absent) {
+bool Section::flag(const std::string& key, bool default_value) {
   const toml::node* node = find(key);
-  if (!node) return absent;
+  if (!node) return default_value;
   const auto value = node->value_exact<bool>();
-  if (!value) return complain(key, "must be true or false"), absent;
+  if (!value) return add_problem(key, "must be true or false"), default_value;
   return *value;
 }
 
-int Section::one_of(const std::string& key, const std::vector<std::string>& words, int absent) {
+int Section::one_of(const std::string& key, const std::vector<std::string>& words, int default_value) {
   const toml::node* node = find(key);
   if (!node) {
-    if (absent < 0) complain("", "'" + key + "' is missing");
-    return absent;
+    if (default_value < 0) add_problem("", "'" + key + "' is missing");
+    return default_value;
   }
   const auto value = node->value_exact<std::string>();
   if (value) {
@@ -103,23 +103,24 @@
       if (words[i] == *value) return static_cast<int>(i);
     }
   }
-  std::string all;
-  for (const std::string& w : words) all += (all.empty() ? "" : ", ") + w;
-  const std::string near = value ? expr::nearest(*value, words) : "";
-  complain(key, "must be one of " + all + (near.empty() ? "" : "; did you mean " + near + "?"));
-  return absent;
+  std::string alternatives;
+  for (const std::string& word : words) alternatives += (alternatives.empty() ? "" : ", ") + word;
+  const std::string suggestion = value ? expr::nearest(*value, words) : "";
+  add_problem(key, "must be one of " + alternatives +
+                       (suggestion.empty() ? "" : "; did you mean " + suggestion + "?"));
+  return default_value;
 }
 
-std::vector<double> Section::numbers(const std::string& key, double least, double most) {
+std::vector<double> Section::numbers(const std::string& key, double min, double max) {
   std::vector<double> out;
   const toml::node* node = find(key);
   if (!node) return out;
   const auto* array = node->as_array();
-  if (!array) return complain(key, "must be a list of numbers"), out;
+  if (!array) return add_problem(key, "must be an array of numbers"), out;
   for (const auto& item : *array) {
     const auto value = item.value<double>();
-    if (!value || !std::isfinite(*value) || *value < least || *value > most) {
-      complain(key, "each must be a number from " + shown(least) + " to " + shown(most));
+    if (!value || !std::isfinite(*value) || *value < min || *value > max) {
+      add_problem(key, "each element must be a number from " + to_text(min) + " to " + to_text(max));
       return out;
     }
     out.push_back(*value);
@@ -132,10 +133,10 @@
   const toml::node* node = find(key);
   if (!node) return out;
   const auto* array = node->as_array();
-  if (!array) return complain(key, "must be a list of texts"), out;
+  if (!array) return add_problem(key, "must be an array of strings"), out;
   for (const auto& item : *array) {
     const auto value = item.value_exact<std::string>();
-    if (!value) return complain(key, "each must be a text"), out;
+    if (!value) return add_problem(key, "each element must be a string"), out;
     out.push_back(*value);
   }
   return out;
@@ -151,7 +152,7 @@
   static const toml::table kEmpty;
   const toml::node* node = find(key);
   const toml::table* table = node ? node->as_table() : nullptr;
-  if (node && !table) complain(key, "must be a table, [" + field(key) + "]");
+  if (node && !table) add_problem(key, "must be a table, [" + field(key) + "]");
   return {table ? *table : kEmpty, field(key), file_, *problems_};
 }
 
@@ -160,27 +161,28 @@
   const toml::node* node = find(key);
   if (!node) return out;
   const auto* array = node->as_array();
-  if (!array) return complain(key, "must be tables, [[" + field(key) + "]]"), out;
+  if (!array) return add_problem(key, "must be an array of tables, [[" + field(key) + "]]"), out;
   for (std::size_t i = 0; i < array->size(); ++i) {
     const auto* table = (*array)[i].as_table();
-    if (!table) return complain(key, "must be tables, [[" + field(key) + "]]"), out;
+    if (!table) return add_problem(key, "must be an array of tables, [[" + field(key) + "]]"), out;
     out.emplace_back(*table, field(key) + "[" + std::to_string(i) + "]", file_, *problems_);
   }
   return out;
 }
 
-void Section::finish() const {
-  const std::vector<std::string> words(known_.begin(), known_.end());
+void Section::reject_unknown_keys() const {
+  const std::vector<std::string> words(known_keys_.begin(), known_keys_.end());
   for (const auto& [key, node] : *table_) {
     const std::string name(key.str());
-    if (known_.contains(name)) continue;
-    const std::string near = expr::nearest(name, words);
-    problems_->push_back({file_, key.source().begin.line, key.source().begin.column, field(name),
-                          "unknown" + (near.empty() ? std::string() : "; did you mean " + near + "?")});
+    if (known_keys_.contains(name)) continue;
+    const std::string suggestion = expr::nearest(name, words);
+    problems_->push_back(
+        {file_, key.source().begin.line, key.source().begin.column, field(name),
+         "unknown key" + (suggestion.empty() ? std::string() : "; did you mean " + suggestion + "?")});
   }
 }
 
-toml::table load(const std::string& path, Problems& problems) {
+toml::table load_toml(const std::string& path, Problems& problems) {
   try {
     return toml::parse_file(path);
   } catch (const toml::parse_error& error) {
--- a/src/gateway/scheduler.h
+++ b/src/gateway/scheduler.h
@@ -1,5 +1,5 @@
-// One running scheduler: sockets on one side, the decision module on the other. What happens becomes calls on
-// Control, what it decides becomes commands and answers. Nothing is decided here.
+// The NVMe/TCP gateway: connects clients, nodes, the endpoint list and the ledger with the decision module.
+// Translates events into calls of Control, and the decisions of Control into commands and responses.
 #pragma once
 
 #include <map>
@@ -7,10 +7,10 @@
 
 #include "config/gateway_config.h"
 #include "control.h"
-#include "gateway/door.h"
-#include "gateway/list_watch.h"
-#include "gateway/match.h"
-#include "gateway/node_link.h"
+#include "gateway/admission_control.h"
+#include "gateway/endpoint_list_watch.h"
+#include "gateway/matcher.h"
+#include "gateway/node_connection.h"
 #include "host/beat.h"
 #include "host/node_numbers.h"
 #include "host/slots.h"
@@ -20,30 +20,30 @@
 
 namespace heronworks::gateway {
 
-// Since the start.
+// Numbers of transactions since the start, if not stated otherwise.
 struct Counts {
-  std::uint64_t landed = 0;
-  std::uint64_t honoured = 0;
-  std::uint64_t turned_back = 0;
-  std::uint64_t given_up = 0;
+  std::uint64_t arrived = 0;
+  std::uint64_t succeeded = 0;
+  std::uint64_t rejected = 0;
+  std::uint64_t expired = 0;
   std::uint64_t abandoned = 0;
-  std::uint64_t dispatched = 0;
-  std::uint64_t at_door = 0;      // turned back before the module saw them: draining, or a bound was reached
-  std::uint64_t by_rule = 0;      // turned back at the door by a rule's word
-  std::uint64_t rule_errors = 0;  // evaluations that failed: the rule did not match
-  std::uint64_t at_ledger = 0;    // turned back while the ledger takes no entries
-  std::uint64_t ahead = 0;        // answers that went out before their entries were durable
-  std::uint64_t refused = 0;      // with an error status: not a command that a volume takes
+  std::uint64_t dispatched = 0;             // dispatches
+  std::uint64_t rejected_at_admission = 0;  // commands: the gateway was draining, or a bound was reached
+  std::uint64_t rejected_by_rule = 0;       // commands
+  std::uint64_t rule_errors = 0;            // failed evaluations; the rule did not match
+  std::uint64_t rejected_by_ledger = 0;     // commands: the ledger accepted no entries
+  std::uint64_t answered_before_durable = 0;
+  std::uint64_t refused = 0;  // commands not valid for their volume, answered with an error status
 };
 
-// A vendor's log page: the reasons of rules. The answer to a transaction that a rule turned back has the
-// rule's number, from 1, in its result (DW0).
-inline constexpr std::uint8_t kReasonsPage = 0xC0;
+// Vendor-specific log page with the rejection reasons of rules. A command that a rule rejected is answered
+// with the rule's number, from 1, in DW0 of the completion.
+inline constexpr std::uint8_t kRejectionReasonsLogPage = 0xC0;
 
 class Scheduler final : public heronworks::ControlActions,
                         public nvme::Backend,
-                        public NodeLinkOwner,
-                        public ListOwner,
+                        public NodeConnectionOwner,
+                        public EndpointListOwner,
                         public ledger::KeeperOwner {
  public:
   // Throws std::runtime_error if it cannot listen.
@@ -52,26 +52,24 @@
 
   Address address() const { return target_->address(); }
   const Counts& counts() const { return counts_; }
-  // What log page kReasonsPage holds: a rule that turns back a line, "number<TAB>name<TAB>reason".
-  std::string reasons() const;
-  std::size_t unread() const {
-    return target_->unsent();
-  }  // bytes of answers that clients have not taken yet
-  bool door_empty() const { return door_.empty(); }
-  std::size_t open() const { return slots_.open(); }
-
-  // Takes nothing new, ends what it took, then calls `done`.
+  // Contents of kRejectionReasonsLogPage: a line "number<TAB>name<TAB>reason" for each rule that rejects.
+  std::string rejection_reasons() const;
+  std::size_t unsent_bytes() const { return target_->unsent(); }  // of responses to clients
+  bool admission_empty() const { return admission_.empty(); }
+  std::size_t open() const { return transactions_.open(); }
+
+  // Rejects new commands, completes the open transactions, then calls `done`.
   void drain(std::function<void()> done);
 
-  // From the module.
+  // ControlActions.
   void dispatch(int transaction, int node, double timeout) override;
-  void reject(int transaction, double wait) override;
+  void reject(int transaction, double retry_after) override;
   void expire(int transaction) override;
   void release(int transaction) override;
   void request_endpoint_list() override;
   void wake_at(double time) override;
 
-  // From clients.
+  // nvme::Backend.
   nvme::Status identify(std::uint8_t cns, std::uint8_t csi, std::uint32_t nsid, nvme::Bytes& page) override;
   void command(nvme::Command&& command) override;
   void log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page, std::uint64_t offset,
@@ -81,86 +79,90 @@
   void closed(nvme::ConnectionId connection) override;
 
  private:
-  // A transaction from landing until the module forgets it.
-  struct Slot {
-    bool used = false;
+  // A transaction, from its arrival until the decision module releases it.
+  struct PendingTransaction {
+    bool in_use = false;
     bool answered = false;
-    bool unnamed = false;  // its client gave no label
+    bool unlabelled = false;  // the client gave no label; the one in `sqe` was generated
     nvme::ConnectionId connection = 0;
     nvme::Sqe sqe;
-    nvme::SharedBytes data;
+    nvme::SharedBytes write_data;
     int profile = 0;
     int shard = -1;
     std::size_t tenant = 0;
     int dispatches = 0;
     int rule = -1;
-    Transaction t;  // as it landed; its time left is counted from `landed_at`
-    double landed_at = 0;
+    Transaction transaction;  // as it arrived; its time_left counts from `arrived_at`
+    double arrived_at = 0;
   };
-  // An answer that waits for its entry in the ledger.
-  struct Waiting {
+  // A response that is held until its ledger entry is durable, or until `hold_until`.
+  struct DelayedResponse {
     std::uint64_t ticket = 0;
-    double until = 0;
+    double hold_until = 0;
     nvme::ConnectionId connection = 0;
     std::uint16_t cid = 0;
     std::uint64_t result = 0;
     nvme::Bytes data;
-    bool gone = false;  // went out ahead
+    bool sent = false;  // before the entry was durable
   };
-  struct NodeSlot {
+  struct NodeEndpoint {
     Address address;
-    std::unique_ptr<NodeLink> link;
+    std::unique_ptr<NodeConnection> connection;
   };
 
-  // From nodes and the list.
-  void ended(int node, const Dispatch& dispatch, Outcome outcome, nvme::Completion&& completion) override;
-  void link_changed(int node, const char* event, const std::string& reason) override;
-  void list_came(std::vector<ListedNode> nodes) override;
-  void list_failed(const std::string& reason) override;
+  // NodeConnectionOwner and EndpointListOwner.
+  void dispatch_ended(int node, const Dispatch& dispatch, Outcome outcome,
+                      nvme::Completion&& completion) override;
+  void connection_changed(int node, const char* event, const std::string& reason) override;
+  void endpoint_list_received(std::vector<ListedEndpoint> endpoints) override;
+  void endpoint_list_failed(const std::string& reason) override;
 
-  // From the ledger.
+  // ledger::KeeperOwner.
   void entered(std::uint64_t ticket) override;
   void ledger_state(bool read_only, const std::string& reason) override;
   void ledger_note(const char* event, const std::string& text) override;
 
-  void enter(Slot& slot, std::uint64_t result, nvme::Bytes&& data);
-  void look_at_waiting();
-  void mark_answered(Slot& slot);
+  void record_and_answer(PendingTransaction& pending, std::uint64_t result, nvme::Bytes&& data);
+  void send_overdue_responses();
+  void mark_answered(PendingTransaction& pending);
   double now() const { return loop_.iteration_time(); }
-  std::vector<NodeEntry> take_list(const std::vector<ListedNode>& nodes);
-  void let_go_of_gone();
-  void connect_to_listed();
-  void answer(Slot& slot, nvme::Status status, std::uint64_t result = 0, nvme::View data = {});
+  std::vector<NodeEntry> apply_endpoint_list(const std::vector<ListedEndpoint>& endpoints);
+  void evict_removed_nodes();
+  void connect_ready_nodes();
+  void answer(PendingTransaction& pending, nvme::Status status, std::uint64_t result = 0,
+              nvme::View data = {});
   void check_drained();
-  void report();
+  void log_counts();
 
   Loop& loop_;
   const config::GatewayConfig& config_;
   Log& log_;
   Matcher matcher_;
-  const double wall_offset_;  // fixed at the start, so that a process keeps the time at which it came up
+  const double wall_offset_;  // wall time less loop time; constant, so that start times of nodes do not shift
   std::unique_ptr<nvme::Target> target_;
-  std::unique_ptr<ListWatch> list_;
+  std::unique_ptr<EndpointListWatch> endpoint_list_;
   std::unique_ptr<Control> control_;
-  Slots<Slot> slots_;                                                // by transaction
-  std::unordered_map<nvme::ConnectionId, std::set<int>> by_client_;  // open ones; emptied with them
-  std::unordered_map<nvme::ConnectionId, ClientFacts> facts_;  // of I/O connections; emptied as they close
+  Slots<PendingTransaction> transactions_;  // by transaction index
+  // Unanswered transactions by connection; a connection is erased with its last one.
+  std::unordered_map<nvme::ConnectionId, std::set<int>> unanswered_;
+  std::unordered_map<nvme::ConnectionId, ClientInfo> clients_;  // of open I/O connections
   store::PosixFileSystem files_;
-  std::unique_ptr<ledger::Keeper> keeper_;  // none: no ledger
+  std::unique_ptr<ledger::Keeper> ledger_;  // null if none is configured
   ledger::Standings standings_;
-  std::deque<Waiting> waiting_;  // by ticket; bounded by what may be open, emptied as entries are durable
-  Loop::TimerId waiting_timer_ = 0;
-  Loop::TimerId draining_ = 0;
-  Door door_;
-  std::vector<NodeSlot> nodes_;  // by the module's index; one whose address is gone for long has no link
-  NodeNumbers numbers_;          // by address
-  Loop::TimerId wake_ = 0;
-  Loop::TimerId report_ = 0;
-  std::unique_ptr<Beat> beat_;
+  // By ticket; bounded by the number of open transactions, emptied as entries become durable.
+  std::deque<DelayedResponse> delayed_responses_;
+  Loop::TimerId delayed_response_timer_ = 0;
+  Loop::TimerId drain_timer_ = 0;
+  AdmissionControl admission_;
+  std::vector<NodeEndpoint> nodes_;  // by node index; the connection is null once the node is evicted
+  NodeNumbers node_indices_;         // by address
+  Loop::TimerId control_timer_ = 0;
+  Loop::TimerId report_timer_ = 0;
+  std::unique_ptr<Beat> watchdog_;
   Counts counts_;
-  Counts reported_;
-  std::function<void()> drained_;
-  std::uint64_t own_label_ = 0;
+  Counts reported_counts_;
+  std::function<void()> drain_done_;
+  std::uint64_t last_generated_label_ = 0;
 };
 
 }  // namespace heronworks::gateway
--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -59,14 +59,14 @@
     Act a;
     const int kind = s.one_of("kind", trouble_names(), -1);
     a.trouble = static_cast<Trouble>(std::max(kind, 0));
-    a.from = s.need_number("at", 0, 3600);
+    a.from = s.require_number("at", 0, 3600);
     a.to = a.from + s.number("seconds", 1, 0, 3600);
     a.size = s.number("size", 2, 0, 1000);
     a.by_reset = s.flag("by_reset", false);
     const double part = s.number("part", 0, 0, 1);
     const double apart = s.number("apart", 0, 0, 3600);  // s between one target's start and the next's
     std::vector<double> named = s.numbers("targets", 0, 65535);
-    s.finish();
+    s.reject_unknown_keys();
     if (kind < 0) continue;
     const Target target = target_of(a.trouble);
     const int all = target == Target::kNode        ? day.nodes
@@ -90,7 +90,7 @@
     }
     for (const double n : named) {
       if (n >= all) {
-        s.complain("targets", "there is no number " + std::to_string(static_cast<int>(n)));
+        s.add_problem("targets", "there is no number " + std::to_string(static_cast<int>(n)));
         continue;
       }
       a.target = static_cast<int>(n);
@@ -136,14 +136,14 @@
 double Day::capacity() const { return nodes * cores / unit_time * (least_speed + most_speed) / 2; }
 
 std::optional<Day> read_day(const std::string& path, std::uint64_t seed, config::Problems& problems) {
-  const toml::table table = config::load(path, problems);
+  const toml::table table = config::load_toml(path, problems);
   if (!problems.empty()) return std::nullopt;
   config::Section root(table, "", path, problems);
   Day d;
   d.file = path;
   config::Section s = root.section("day");
   d.name = s.text("name", path);
-  d.seconds = s.need_number("seconds", 0.5, 3600);
+  d.seconds = s.require_number("seconds", 0.5, 3600);
   d.seed = static_cast<std::uint64_t>(s.integer("seed", 1, 1, 1 << 30));
   if (seed != 0) d.seed = seed;
   d.schedulers = static_cast<int>(s.integer("schedulers", 1, 1, 64));
@@ -151,7 +151,7 @@
   d.zones = static_cast<int>(s.integer("zones", 1, 1, 64));
   d.answer_slack = s.number("answer_slack", 0.05, 0, 60);
   d.drain_grace = s.number("drain_grace", 0.25, 0, 60);
-  s.finish();
+  s.reject_unknown_keys();
 
   config::Section space = root.section("space");
   d.zone_blocks = static_cast<std::uint32_t>(space.integer("zone_blocks", 256, 1, 65536));
@@ -159,8 +159,8 @@
   d.unit_blocks = static_cast<std::uint32_t>(space.integer("unit_blocks", 1, 1, 64));
   d.key_blocks = static_cast<std::uint32_t>(space.integer("key_blocks", 16, 1, 65536));
   if (d.zones_a_volume % static_cast<std::uint32_t>(d.nodes) != 0)
-    space.complain("zones", "must be a multiple of the nodes, as zone z lies on shard z modulo nodes");
-  space.finish();
+    space.add_problem("zones", "must be a multiple of the nodes, as zone z lies on shard z modulo nodes");
+  space.reject_unknown_keys();
 
   config::Section n = root.section("node");
   d.cores = static_cast<int>(n.integer("cores", 2, 1, 64));
@@ -175,12 +175,12 @@
   d.pause_time = n.number("pause_time", 0.1, 0, 60);
   d.meter_late = n.number("meter_late", 0.3, 0, 60);
   d.repeat_saving = n.number("repeat_saving", 0.9, 0, 1);
-  n.finish();
+  n.reject_unknown_keys();
 
   config::Section l = root.section("list");
   d.notice = l.number("notice", 0.3, 0, 60);
   d.call_time = l.number("call_time", 0.002, 0, 60);
-  l.finish();
+  l.reject_unknown_keys();
 
   config::Section c = root.section("clients");
   d.connections = static_cast<int>(c.integer("connections", 2, 1, 1000));
@@ -189,19 +189,19 @@
   d.retries = static_cast<int>(c.integer("retries", 1, 0, 10));
   d.backoff = c.number("backoff", 0.05, 0, 60);
   d.lead_part = c.number("lead_part", 0.6, 0, 1);
-  c.finish();
+  c.reject_unknown_keys();
 
   config::Section ledger = root.section("ledger");
   d.ledger_period = ledger.number("period", 0, 1, 86400);
-  ledger.finish();
+  ledger.reject_unknown_keys();
 
   config::Section r = root.section("rules");
   d.rules = r.text("text", "");
-  r.finish();
+  r.reject_unknown_keys();
 
   config::read_profiles(root, d.settings, d.profile_names, &d.late_parts);
   config::read_plans(root, d.settings, d.plan_names);
-  config::read_rules(root, d.settings);
+  config::read_scheduling(root, d.settings);
   d.matches = config::read_matches(root, d.profile_names);
   d.read_rules = DayRules::read(d.rules, path, d.profile_names, d.settings.profiles, problems);
   d.settings.scheduler_count = d.schedulers;
@@ -217,13 +217,13 @@
     work.most_units = static_cast<int>(w.integer("most_units", work.least_units, work.least_units, 1024));
     work.fresh = w.number("fresh", 0, 0, 1);
     if (work.most_units > d.settings.max_transaction_units)
-      w.complain("most_units", "over sharing.largest_units");
+      w.add_problem("most_units", "over sharing.largest_units");
     if (static_cast<std::uint32_t>(work.most_units) * d.unit_blocks > d.zone_blocks)
-      w.complain("most_units", "more blocks than a zone has");
-    w.finish();
+      w.add_problem("most_units", "more blocks than a zone has");
+    w.reject_unknown_keys();
     d.work.push_back(work);
   }
-  if (d.work.empty()) root.complain("", "at least one [[work]] is needed");
+  if (d.work.empty()) root.add_problem("", "at least one [[work]] is needed");
   for (config::Section& v : root.list("customers")) {
     Customers k;
     k.plan = v.one_of("plan", d.plan_names, -1);
@@ -233,12 +233,12 @@
     k.most_hosts = static_cast<int>(v.integer("most_hosts", k.least_hosts, k.least_hosts, d.schedulers));
     k.least_shards = static_cast<int>(v.integer("least_shards", 1, 1, d.nodes));
     k.most_shards = static_cast<int>(v.integer("most_shards", k.least_shards, k.least_shards, d.nodes));
-    v.finish();
+    v.reject_unknown_keys();
     d.customers.push_back(k);
   }
-  if (d.customers.empty()) root.complain("", "at least one [[customers]] is needed");
+  if (d.customers.empty()) root.add_problem("", "at least one [[customers]] is needed");
   read_troubles(root, d);
-  root.finish();
+  root.reject_unknown_keys();
   if (!problems.empty()) return std::nullopt;
   return d;
 }
@@ -340,9 +340,9 @@
       << "\nfall_time = " << s.overload_window << "\ntip_multiple = " << s.overload_multiple
       << "\nsafe_units = " << s.safe_start_units << "\n";
   const char* operations[] = {"read", "write", "append"};
-  for (const config::Rule& r : day.matches) {
+  for (const config::MatchRule& r : day.matches) {
     t << "[[match]]\noperation = \"" << (r.operation ? operations[static_cast<int>(*r.operation)] : "any")
-      << "\"\nleast_blocks = " << r.least_blocks << "\nmost_blocks = " << r.most_blocks << "\nprofile = \""
+      << "\"\nleast_blocks = " << r.min_blocks << "\nmost_blocks = " << r.max_blocks << "\nprofile = \""
       << day.profile_names[static_cast<std::size_t>(r.profile)] << "\"\n";
   }
   const auto volumes = volumes_of(day);
--- a/src/lab/day.h
+++ b/src/lab/day.h
@@ -75,7 +75,7 @@
   std::vector<std::string> profile_names;
   std::vector<double> late_parts;  // of a profile's benefit that a late answer earns in the verdict
   std::vector<std::string> plan_names;
-  std::vector<config::Rule> matches;
+  std::vector<config::MatchRule> matches;
   std::vector<Work> work;
   std::vector<Customers> customers;
 
@@ -111,9 +111,9 @@
   double backoff = 0.05;
   double lead_part = 0.6;  // of a volume's traffic that its leading scheduler gets
 
-  double ledger_period = 0;                         // s; 0: the schedulers keep no ledgers
-  std::string rules;                                // [[rule]] and [sets] for the schedulers, TOML as written
-  std::shared_ptr<const config::Rules> read_rules;  // the same, for the stand-ins and the checker
+  double ledger_period = 0;  // s; 0: the schedulers keep no ledgers
+  std::string rules;         // [[rule]] and [sets] for the schedulers, TOML as written
+  std::shared_ptr<const config::ExpressionRules> read_rules;  // the same, for the stand-ins and the checker
 
   std::vector<Act> acts;  // in order of time
 
--- a/src/lab/day_rules.cpp
+++ b/src/lab/day_rules.cpp
@@ -39,10 +39,11 @@
   }
 }
 
-std::shared_ptr<const config::Rules> DayRules::read(const std::string& text, const std::string& file,
-                                                    const std::vector<std::string>& profile_names,
-                                                    const std::vector<Profile>& profiles,
-                                                    config::Problems& problems) {
+std::shared_ptr<const config::ExpressionRules> DayRules::read(const std::string& text,
+                                                              const std::string& file,
+                                                              const std::vector<std::string>& profile_names,
+                                                              const std::vector<Profile>& profiles,
+                                                              config::Problems& problems) {
   toml::table table;
   try {
     table = toml::parse(text);
@@ -52,16 +53,17 @@
     return nullptr;
   }
   config::Section root(table, "rules.text", file, problems);
-  auto rules = config::read_expr_rules(root, profile_names, profiles, problems);
+  auto rules = config::read_expression_rules(root, profile_names, profiles, problems);
   if (!rules) return nullptr;
   for (std::size_t i = 0; i < rules->set.size(); ++i) {
     const expr::Rule& r = rules->set.rule(static_cast<int>(i));
     if (r.turn_back.empty() && (r.profile >= 0 || r.key) && (!r.stable || r.most_share < 1))
-      root.complain("rule", "'" + r.name +
-                                "' gives a profile or key, and so must hold for all tries and have no share");
-    if (r.units) root.complain("rule", "'" + r.name + "' sets units; stand-in nodes charge their own");
+      root.add_problem(
+          "rule",
+          "'" + r.name + "' gives a profile or key, and so must hold for all tries and have no share");
+    if (r.units) root.add_problem("rule", "'" + r.name + "' sets units; stand-in nodes charge their own");
   }
-  return std::make_shared<const config::Rules>(std::move(*rules));
+  return std::make_shared<const config::ExpressionRules>(std::move(*rules));
 }
 
 }  // namespace heronworks::lab
--- a/src/lab/day_rules.h
+++ b/src/lab/day_rules.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <optional>
 
-#include "config/rules.h"
+#include "config/expression_rules.h"
 #include "nvme/wire.h"
 
 namespace heronworks::lab {
@@ -17,7 +17,7 @@
 
 class DayRules {
  public:
-  explicit DayRules(std::shared_ptr<const config::Rules> rules) : rules_(std::move(rules)) {}
+  explicit DayRules(std::shared_ptr<const config::ExpressionRules> rules) : rules_(std::move(rules)) {}
 
   // As if no rule turned it back: one that is turned back needs no profile.
   Ruled of(const nvme::Sqe& sqe, const std::string& plan, std::uint32_t block_bytes,
@@ -25,13 +25,13 @@
 
   // Reads [rules] of a day. A rule that gives a profile or a key must say the same to all who ask: it marks
   // all that it holds for, by what does not change.
-  static std::shared_ptr<const config::Rules> read(const std::string& text, const std::string& file,
-                                                   const std::vector<std::string>& profile_names,
-                                                   const std::vector<Profile>& profiles,
-                                                   config::Problems& problems);
+  static std::shared_ptr<const config::ExpressionRules> read(const std::string& text, const std::string& file,
+                                                             const std::vector<std::string>& profile_names,
+                                                             const std::vector<Profile>& profiles,
+                                                             config::Problems& problems);
 
  private:
-  std::shared_ptr<const config::Rules> rules_;
+  std::shared_ptr<const config::ExpressionRules> rules_;
   expr::Machine machine_;
 };
 
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -34,7 +34,7 @@
 std::optional<lab::Day> read(const Words& w) {
   config::Problems problems;
   auto day = lab::read_day(w.day, w.seed, problems);
-  for (const auto& p : problems) std::fprintf(stderr, "%s\n", p.shown().c_str());
+  for (const auto& p : problems) std::fprintf(stderr, "%s\n", p.to_string().c_str());
   return day;
 }
 
--- a/tests/gateway/config_test.cpp
+++ b/tests/gateway/config_test.cpp
@@ -1,17 +1,17 @@
-// Configurations: each fault with its line, column and field; nothing half done.
+// Configuration files: every problem is reported with its line, column and field.
 #include <doctest/doctest.h>
 #include <unistd.h>
 
 #include <fstream>
 
 #include "config/gateway_config.h"
-#include "rig.h"
+#include "gateway_fixture.h"
 
 using namespace heronworks;
 
 namespace {
 
-const char* kGood = R"([scheduler]
+const char* kValidConfig = R"([scheduler]
 listen = "127.0.0.1:0"
 [list]
 address = "127.0.0.1:1"
@@ -36,58 +36,59 @@
 )";
 
 std::vector<std::string> problems_of(const std::string& text) {
-  const std::string path = test::scratch("check.toml");
+  const std::string path = test::temporary_path("check.toml");
   std::ofstream(path) << text;
   config::Problems problems;
-  const auto c = config::read_gateway(path, problems);
+  const auto c = config::read_gateway_config(path, problems);
   std::vector<std::string> out;
-  for (const auto& p : problems) out.push_back(p.shown().substr(path.size()));
+  for (const auto& p : problems) out.push_back(p.to_string().substr(path.size()));
   CHECK(c.has_value() == out.empty());
   return out;
 }
 
 std::string with(const std::string& from, const std::string& to) {
-  std::string text = kGood;
+  std::string text = kValidConfig;
   text.replace(text.find(from), from.size(), to);
   return text;
 }
 
 }  // namespace
 
-TEST_CASE("a good configuration has no problems") { CHECK(problems_of(kGood).empty()); }
+TEST_CASE("a good configuration has no problems") { CHECK(problems_of(kValidConfig).empty()); }
 
-TEST_CASE("each fault names line, column and field") {
+TEST_CASE("each problem names line, column and field") {
   const auto one = [](const std::string& text) {
     const auto p = problems_of(text);
     REQUIRE(p.size() == 1);
     return p[0];
   };
   CHECK(one(with("cut_off = 2", "cut_off = 0.2")) ==
-        ":12:11: profile[0].cut_off: must not be under the contract time");
+        ":12:11: profile[0].cut_off: must not be less than 'contract'");
   CHECK(one(with("\"redoable\"", "\"redoabel\"")) ==
         ":13:10: profile[0].repeat: must be one of redoable, labelled, irreversible; did you mean redoable?");
-  CHECK(one(with("zones = 8", "zones = \"8\"")) == ":7:9: space.zones: must be a whole number");
+  CHECK(one(with("zones = 8", "zones = \"8\"")) == ":7:9: space.zones: must be an integer");
   CHECK(one(with("usual = 10", "usual = -1")) == ":16:9: plan[0].usual: must be from 1e-06 to 1e+09, is -1");
   CHECK(one(with("plan = \"base\"", "plan = \"bass\"")) ==
         ":22:8: volumes[0].plan: must be one of base; did you mean base?");
   CHECK(one(with("127.0.0.1:1\"", "localhost:1\"")) ==
-        ":4:11: list.address: must be a numeric address and port, such as 127.0.0.1:4420");
-  CHECK(one(std::string(kGood) + "[[volumes]]\nfirst = 9\nplan = \"base\"\n").find("overlap with 1 to 9") !=
+        ":4:11: list.address: must be a numeric address and port, such as 127.0.0.1:4420, is 'localhost:1'");
+  CHECK(one(std::string(kValidConfig) + "[[volumes]]\nfirst = 9\nplan = \"base\"\n")
+            .find("volumes overlap with the range 1 to 9") != std::string::npos);
+  CHECK(one(with("usual = 10", "usual = 10\nlimit = 20")).find("'burst' is required if 'limit' is set") !=
         std::string::npos);
-  CHECK(one(with("usual = 10", "usual = 10\nlimit = 20")).find("needs 'burst'") != std::string::npos);
   CHECK(one(with("shards = 2", "shards = 2\nshard = 3")) ==
-        ":9:1: space.shard: unknown; did you mean shards?");
+        ":9:1: space.shard: unknown key; did you mean shards?");
   CHECK(one(with("plan = \"base\"", "plan = \"base\"\ntenant = \"" + std::string(65, 't') + "\"")) ==
-        ":23:10: volumes[0].tenant: must be of 1 to 64 bytes");
-  CHECK(one(std::string(kGood) + "[[rule]]\nwhen = \"true\"\nlabels = {a = \"" + std::string(600, 'x') +
-            "\"}\n")
-            .find("at most 512 go into an entry") != std::string::npos);
+        ":23:10: volumes[0].tenant: must have 1 to 64 bytes, has 65");
+  CHECK(one(std::string(kValidConfig) + "[[rule]]\nwhen = \"true\"\nlabels = {a = \"" +
+            std::string(600, 'x') + "\"}\n")
+            .find("names and values have 601 bytes in total, at most 512 are allowed") != std::string::npos);
   CHECK(one("[scheduler\n").find(":1:") == 0);
 }
 
-TEST_CASE("rules: faults are shown with the place in the file and in the expression") {
+TEST_CASE("problems of rules name the position in the file and in the expression") {
   const auto p =
-      problems_of(std::string(kGood) +
+      problems_of(std::string(kValidConfig) +
                   "[[rule]]\nwhen = \"volum == 1 && plan == 2\"\n[[rule]]\nwhen = \"1\"\nkey = \"plan\"\n"
                   "[sets.a]\nnetworks = [\"10.0.0.1/8\"]\n");
   REQUIRE(p.size() == 5);
@@ -99,9 +100,9 @@
   CHECK(p[4].find(":27:7: rule[1].key: line 1, column 1: a uint is expected, this is a string") == 0);
 }
 
-TEST_CASE("all faults of a file come in one go") {
+TEST_CASE("all problems of a file are reported together") {
   std::string text = with("cut_off = 2", "cut_off = 0.2");
   text.replace(text.find("zones = 8"), 9, "zones = 0");
   text.replace(text.find("first = 1"), 9, "firts = 1");
-  CHECK(problems_of(text).size() == 4);  // the last is missing under its name and unknown under the other
+  CHECK(problems_of(text).size() == 4);  // 'first' is missing and 'firts' is unknown
 }
--- /dev/null
+++ b/tests/gateway/matcher_test.cpp
@@ -0,0 +1,113 @@
+// The transactions that commands become by rules, without sockets.
+#include "gateway/matcher.h"
+
+#include <doctest/doctest.h>
+
+#include <fstream>
+
+#include "gateway_fixture.h"
+
+using namespace heronworks;
+
+namespace {
+
+struct MatcherFixture {
+  explicit MatcherFixture(const std::string& rules) {
+    const std::string path = test::temporary_path("match.toml");
+    std::ofstream(path) << R"([scheduler]
+listen = "127.0.0.1:0"
+[list]
+address = "127.0.0.1:1"
+[space]
+zone_blocks = 64
+zones = 8
+shards = 2
+unit_blocks = 4
+[sharing]
+largest_units = 6
+[[profile]]
+name = "read"
+contract = 0.5
+cut_off = 2
+repeat = "redoable"
+[[profile]]
+name = "ordered"
+contract = 0.5
+cut_off = 2
+repeat = "redoable"
+in_order = true
+[[plan]]
+name = "base"
+usual = 10
+[[match]]
+profile = "read"
+[[volumes]]
+first = 1
+last = 9
+plan = "base"
+)" << rules;
+    config = config::read_gateway_config(path, problems);
+    if (config) matcher.emplace(*config);
+  }
+  gateway::MatchResult match(std::uint32_t volume, std::uint64_t lba, std::uint32_t blocks, int attempt = 0) {
+    nvme::Sqe q;
+    q.opcode = nvme::opcode::kRead;
+    q.nsid = volume;
+    q.set_slba(lba);
+    q.set_blocks(blocks);
+    q.set_origin(attempt, 0, 0);
+    nvme::Status error;
+    const auto result = matcher->match(q, {"nqn.test", *expr::parse_address("10.0.0.1")}, 1, 1e9, error);
+    REQUIRE(result);
+    return *result;
+  }
+  config::Problems problems;
+  std::optional<config::GatewayConfig> config;
+  std::optional<gateway::Matcher> matcher;
+};
+
+}  // namespace
+
+TEST_CASE("a rule sets units; a failed evaluation or a value out of range leaves the default units") {
+  MatcherFixture fixture(
+      "[[definition]]\nname = \"cheap\"\nis = \"volume == 2\"\n"
+      "[[rule]]\nwhen = \"cheap\"\nunits = \"1\"\n"
+      "[[rule]]\nwhen = \"volume == 3\"\nunits = \"min(blocks, 7u)\"\n"
+      "[[rule]]\nwhen = \"volume == 4\"\nunits = \"blocks / (lba - 5)\"\n");
+  REQUIRE(fixture.matcher);
+  CHECK(fixture.match(1, 0, 9).transaction.units == 3);
+  CHECK(fixture.match(2, 0, 9).transaction.units == 1);
+  CHECK(fixture.match(3, 0, 5).transaction.units == 5);
+  CHECK(fixture.match(3, 0, 9).transaction.units == 3);  // 7 exceeds the maximum
+  CHECK(fixture.match(3, 0, 9).failed_evaluations == 1);
+  CHECK(fixture.match(4, 5, 4).transaction.units == 1);
+  CHECK(fixture.match(4, 5, 4).failed_evaluations == 1);
+  CHECK(fixture.match(4, 0, 4).failed_evaluations == 1);  // overflow
+  CHECK(fixture.match(4, 6, 20).transaction.units == 5);  // 20 exceeds the maximum
+}
+
+TEST_CASE("a rule of an ordered profile is rejected if its key may differ between retries") {
+  MatcherFixture stable(
+      "[[rule]]\nwhen = \"blocks > 2\"\nprofile = \"ordered\"\nkey = \"hash(volume, lba / 16, "
+      "client.name)\"\n");
+  REQUIRE(stable.matcher);
+  const auto first = stable.match(1, 17, 4, 0).transaction;
+  CHECK(first.profile == 1);
+  for (int attempt = 1; attempt < 5; ++attempt)
+    CHECK(stable.match(1, 17, 4, attempt).transaction.key == first.key);
+  CHECK(stable.match(1, 32, 4).transaction.key != first.key);
+  for (const char* changing : {"try", "time.hour", "time.of_day", "time.weekday", "client.address"}) {
+    MatcherFixture key(std::string("[[rule]]\nwhen = \"true\"\nprofile = \"ordered\"\nkey = \"hash(") +
+                       changing + ")\"\n");
+    CHECK_FALSE(key.matcher);
+    REQUIRE(key.problems.size() == 1);
+    CHECK(key.problems[0].text.find("must be the same for every try") != std::string::npos);
+  }
+  MatcherFixture when("[[rule]]\nwhen = \"try == 0\"\nprofile = \"ordered\"\nkey = \"hash(lba)\"\n");
+  CHECK_FALSE(when.matcher);
+  MatcherFixture broken(
+      "[[definition]]\nname = \"x\"\nis = \"lba ==\"\n[[rule]]\nwhen = \"true\"\nunits = \"plan\"\n");
+  REQUIRE(broken.problems.size() == 2);
+  CHECK(broken.problems[0].field == "definition[0].is");
+  CHECK(broken.problems[1].field == "rule[0].units");
+}
--- a/tests/gateway/orderings_test.cpp
+++ b/tests/gateway/orderings_test.cpp
@@ -1,11 +1,11 @@
-// Every ordering of a few events on the real gateway, by a hand-turned clock: answers, a broken connection, a
-// client that leaves, a drain in the list, time. After each event no client has two answers; at the end every
-// count is back.
+// Every ordering of a few events on the gateway, with a manual clock: node responses, a lost connection, a
+// client that disconnects, a draining node, and time. No command may be answered twice, and no resource may
+// remain in use at the end.
 #include <doctest/doctest.h>
 
 #include <algorithm>
 
-#include "rig.h"
+#include "gateway_fixture.h"
 
 using namespace heronworks;
 using namespace heronworks::test;
@@ -13,144 +13,157 @@
 
 namespace {
 
-struct Seen {
+struct Totals {
   int orderings = 0;
-  int honoured = 0;
-  int turned_back = 0;
-  int given_up = 0;
+  int succeeded = 0;
+  int rejected = 0;
+  int expired = 0;
   int abandoned = 0;
-  int again = 0;  // redoable work that reached a node twice
+  int retried_reads = 0;
 };
 
-// A read of shard 0 and an append by one client, a write by another that leaves.
-class World : public RigOn<ManualClock> {
+// One client reads from shard 0 and appends; another one writes and may disconnect.
+class OrderingFixture : public BasicGatewayFixture<ManualClock> {
  public:
-  enum Event { kAnswersFirst, kAnswersAll, kFullAll, kBreaks, kLeaves, kDrains, kTime };
+  enum Event {
+    kFirstNodeResponds,
+    kAllNodesRespond,
+    kAllNodesFull,
+    kConnectionsReset,
+    kClientDisconnects,
+    kNodeDrains,
+    kTimePasses
+  };
 
-  World() {
+  OrderingFixture() {
     start(false);
-    REQUIRE(until([&] { return list.asked > 0; }));
+    REQUIRE(run_until([&] { return endpoint_list.requests > 0; }));
     settle();
-    stays = &client();
-    leaves = &client();
-    for (auto& n : nodes) n->answers.reset();
-    pass(0.1);  // slices of the reservation fill
-    stays->read(1, 0);
-    stays->append(2);
-    leaves->write(3, 1);
-    REQUIRE(until([&] { return scheduler->counts().landed == 3; }));
-    REQUIRE(until([&] { return came() == 3; }));
+    client_a_ = &client();
+    client_b_ = &client();
+    for (auto& n : nodes) n->auto_response.reset();
+    advance(0.1);  // reservation tokens accumulate
+    client_a_->read(1, 0);
+    client_a_->append(2);
+    client_b_->write(3, 1);
+    REQUIRE(run_until([&] { return scheduler->counts().arrived == 3; }));
+    REQUIRE(run_until([&] { return received() == 3; }));
   }
-  std::size_t came() const { return nodes[0]->came.size() + nodes[1]->came.size(); }
+  std::size_t received() const { return nodes[0]->commands.size() + nodes[1]->commands.size(); }
   void settle() {
     for (int i = 0; i < 6; ++i) loop.run_once(0);
   }
-  void happen(Event e) {
+  void apply(Event e) {
     switch (e) {
-      case kAnswersFirst:
-        answer(*nodes[0], st::kOk);
+      case kFirstNodeResponds:
+        respond(*nodes[0], st::kOk);
         break;
-      case kAnswersAll:
-        for (auto& n : nodes) answer(*n, st::kOk);
+      case kAllNodesRespond:
+        for (auto& n : nodes) respond(*n, st::kOk);
         break;
-      case kFullAll:
-        for (auto& n : nodes) answer(*n, st::kCommandInterrupted);
+      case kAllNodesFull:
+        for (auto& n : nodes) respond(*n, st::kCommandInterrupted);
         break;
-      case kBreaks:
+      case kConnectionsReset:
         for (auto& n : nodes) n->target->reset_all();
         break;
-      case kLeaves:
-        leaves->host->close("leaves");
+      case kClientDisconnects:
+        client_b_->host->close("disconnect");
         break;
-      case kDrains: {
+      case kNodeDrains: {
         auto to = all_ready();
-        to[0].listing = NodeState::kDraining;
-        list.change(to);
+        to[0].state = NodeState::kDraining;
+        endpoint_list.update(to);
         settle();
         settle();
-        at_drain_ = nodes[0]->came.size();
+        commands_at_drain_ = nodes[0]->commands.size();
         break;
       }
-      case kTime:
-        pass(0.7);
+      case kTimePasses:
+        advance(0.7);
         break;
     }
     settle();
-    CHECK_FALSE(stays->twice);
-    CHECK(stays->answers.size() <= 2);
-    if (at_drain_) CHECK(nodes[0]->came.size() == *at_drain_);
+    CHECK_FALSE(client_a_->completed_twice);
+    CHECK(client_a_->completions.size() <= 2);
+    if (commands_at_drain_) CHECK(nodes[0]->commands.size() == *commands_at_drain_);
   }
-  // In steps, so that timers come in their order.
-  void pass(double seconds) {
+  // In steps, so that timers fire in order.
+  void advance(double seconds) {
     for (int i = 0; i < 70; ++i) {
       clock.advance(seconds / 70);
       loop.run_once(0);
     }
   }
-  void finish(Seen& seen) {
-    for (int i = 0; i < 4; ++i) pass(0.7);
+  void finish(Totals& totals) {
+    for (int i = 0; i < 4; ++i) advance(0.7);
     settle();
     const gateway::Counts& c = scheduler->counts();
-    CHECK(stays->answers.size() == 2);
+    CHECK(client_a_->completions.size() == 2);
     CHECK(scheduler->open() == 0);
-    CHECK(scheduler->door_empty());
-    CHECK(c.landed == 3);
-    CHECK(c.honoured + c.turned_back + c.given_up + c.abandoned == 3);
-    CHECK(c.refused + c.at_door == 0);
+    CHECK(scheduler->admission_empty());
+    CHECK(c.arrived == 3);
+    CHECK(c.succeeded + c.rejected + c.expired + c.abandoned == 3);
+    CHECK(c.refused + c.rejected_at_admission == 0);
     std::map<std::uint64_t, std::vector<std::uint8_t>> reached;
     for (auto& n : nodes) {
-      for (const auto& k : n->came) reached[k.sqe.label()].push_back(k.sqe.opcode);
+      for (const auto& k : n->commands) reached[k.sqe.label()].push_back(k.sqe.opcode);
     }
-    CHECK(c.dispatched >= came());
-    // Of the append: once more only after the node's word that it never ran.
-    CHECK(reached[1002].size() <= 1 + full_);
-    seen.again += reached[1001].size() > 1;
-    seen.honoured += static_cast<int>(c.honoured);
-    seen.turned_back += static_cast<int>(c.turned_back);
-    seen.given_up += static_cast<int>(c.given_up);
-    seen.abandoned += static_cast<int>(c.abandoned);
-    ++seen.orderings;
+    CHECK(c.dispatched >= received());
+    // The append is retried only after a node rejected it without execution.
+    CHECK(reached[1002].size() <= 1 + full_responses_);
+    totals.retried_reads += reached[1001].size() > 1;
+    totals.succeeded += static_cast<int>(c.succeeded);
+    totals.rejected += static_cast<int>(c.rejected);
+    totals.expired += static_cast<int>(c.expired);
+    totals.abandoned += static_cast<int>(c.abandoned);
+    ++totals.orderings;
   }
 
  private:
-  // All that is out there, the newest first: completions out of order.
-  void answer(ScriptNode& n, nvme::Status status) {
-    for (std::size_t i = n.came.size(); i > 0; --i) n.answer(i - 1, status);
-    if (status == st::kCommandInterrupted) ++full_;
+  // Responds to all commands, newest first, so that completions arrive out of order.
+  void respond(ScriptedNode& n, nvme::Status status) {
+    for (std::size_t i = n.commands.size(); i > 0; --i) n.respond(i - 1, status);
+    if (status == st::kCommandInterrupted) ++full_responses_;
   }
-  ScriptClient* stays = nullptr;
-  ScriptClient* leaves = nullptr;
-  std::optional<std::size_t> at_drain_;
-  std::size_t full_ = 0;
+  TestClient* client_a_ = nullptr;
+  TestClient* client_b_ = nullptr;
+  std::optional<std::size_t> commands_at_drain_;
+  std::size_t full_responses_ = 0;
 };
 
 }  // namespace
 
-TEST_CASE("every ordering of answers, a break, a client that leaves, a drain and time, on the real gateway") {
-  Seen seen;
+TEST_CASE("every ordering of responses, resets, a client disconnect, a draining node and time") {
+  Totals totals;
   for (const auto& first :
-       {std::vector{World::kAnswersFirst, World::kBreaks, World::kLeaves, World::kDrains, World::kTime},
-        std::vector{World::kAnswersAll, World::kFullAll, World::kLeaves, World::kDrains, World::kTime}}) {
+       {std::vector{OrderingFixture::kFirstNodeResponds, OrderingFixture::kConnectionsReset,
+                    OrderingFixture::kClientDisconnects, OrderingFixture::kNodeDrains,
+                    OrderingFixture::kTimePasses},
+        std::vector{OrderingFixture::kAllNodesRespond, OrderingFixture::kAllNodesFull,
+                    OrderingFixture::kClientDisconnects, OrderingFixture::kNodeDrains,
+                    OrderingFixture::kTimePasses}}) {
     auto order = first;
     std::sort(order.begin(), order.end());
     do {
-      World w;
+      OrderingFixture fixture;
       std::string text;
       for (const auto e : order) {
         text += std::to_string(e) + " ";
         INFO(text);
-        w.happen(e);
+        fixture.apply(e);
       }
       INFO(text);
-      w.finish(seen);
+      fixture.finish(totals);
     } while (std::next_permutation(order.begin(), order.end()));
   }
-  MESSAGE(seen.orderings, " orderings: ", seen.honoured, " honoured, ", seen.turned_back, " turned back, ",
-          seen.given_up, " given up, ", seen.abandoned, " abandoned, ", seen.again, " reads went again");
-  CHECK(seen.orderings == 240);
-  CHECK(seen.honoured > 0);
-  CHECK(seen.turned_back > 0);
-  CHECK(seen.given_up > 0);
-  CHECK(seen.abandoned > 0);
-  CHECK(seen.again > 0);
+  MESSAGE(totals.orderings, " orderings: ", totals.succeeded, " succeeded, ", totals.rejected, " rejected, ",
+          totals.expired, " expired, ", totals.abandoned, " abandoned, ", totals.retried_reads,
+          " reads were retried");
+  CHECK(totals.orderings == 240);
+  CHECK(totals.succeeded > 0);
+  CHECK(totals.rejected > 0);
+  CHECK(totals.expired > 0);
+  CHECK(totals.abandoned > 0);
+  CHECK(totals.retried_reads > 0);
 }
--- a/tests/gateway/peer_test.cpp
+++ b/tests/gateway/peer_test.cpp
@@ -1,9 +1,9 @@
-// Raw peers against the controller's end: identifiers used twice, floods that read nothing, half-open and
-// slow ones, broken PDUs of a fixed seed; and a broken controller against the host's end.
+// Misbehaving peers. Against the gateway: duplicate command identifiers, unread responses, half-open
+// connections, malformed PDUs. Against the host: a controller that sends malformed PDUs.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 
-#include "rig.h"
+#include "gateway_fixture.h"
 
 using namespace heronworks;
 using namespace heronworks::test;
@@ -11,16 +11,16 @@
 
 namespace {
 
-// A socket that speaks bytes.
-class Raw final : public StreamHandler {
+// A connection that sends hand-made PDUs and collects the received bytes.
+class RawPeer final : public StreamHandler {
  public:
-  Raw(Loop& loop, const Address& at) : stream(loop, connect_to(at), *this, true) {}
-  void on_connected() override { up = true; }
+  RawPeer(Loop& loop, const Address& at) : stream(loop, connect_to(at), *this, true) {}
+  void on_connected() override { connected = true; }
   std::size_t on_received(nvme::View b) override {
-    in.insert(in.end(), b.begin(), b.end());
+    received.insert(received.end(), b.begin(), b.end());
     return b.size();
   }
-  void on_closed(const std::string&) override { gone = true; }
+  void on_closed(const std::string&) override { closed = true; }
 
   void init() {
     nvme::InitConnection ic;
@@ -49,36 +49,37 @@
     nvme::put_text(d.host, "raw");
     command(c, nvme::bytes_of(d));
   }
-  // Completions that came so far, in order.
+  // Completions received so far, in order.
   std::vector<nvme::Cqe> completions() const {
     std::vector<nvme::Cqe> out;
     std::size_t at = 0;
-    while (at + 8 <= in.size()) {
-      const auto h = nvme::read_as<nvme::PduHeader>(nvme::View(in).subspan(at));
-      if (at + h.plen > in.size() || h.plen < 8) break;
+    while (at + 8 <= received.size()) {
+      const auto h = nvme::read_as<nvme::PduHeader>(nvme::View(received).subspan(at));
+      if (at + h.plen > received.size() || h.plen < 8) break;
       if (h.type == static_cast<std::uint8_t>(nvme::PduType::kCapsuleResp))
-        out.push_back(nvme::read_as<nvme::CapsuleResp>(nvme::View(in).subspan(at)).cqe);
+        out.push_back(nvme::read_as<nvme::CapsuleResp>(nvme::View(received).subspan(at)).cqe);
       at += h.plen;
     }
     return out;
   }
 
   Stream stream;
-  nvme::Bytes in;
-  bool up = false;
-  bool gone = false;
+  nvme::Bytes received;
+  bool connected = false;
+  bool closed = false;
 };
 
-// An I/O queue by hand: its admin queue first.
+// An admin queue and an I/O queue made of raw connections.
 struct RawQueue {
-  RawQueue(Rig& r) : admin(r.loop, r.scheduler->address()), io(r.loop, r.scheduler->address()) {
-    REQUIRE(r.until([&] { return admin.up && io.up; }));
+  RawQueue(GatewayFixture& fixture)
+      : admin(fixture.loop, fixture.scheduler->address()), io(fixture.loop, fixture.scheduler->address()) {
+    REQUIRE(fixture.run_until([&] { return admin.connected && io.connected; }));
     admin.init();
     io.init();
     admin.connect(0, 0xffff);
-    REQUIRE(r.until([&] { return admin.completions().size() == 1; }));
+    REQUIRE(fixture.run_until([&] { return admin.completions().size() == 1; }));
     io.connect(1, static_cast<std::uint16_t>(admin.completions()[0].dw0));
-    REQUIRE(r.until([&] { return io.completions().size() == 1; }));
+    REQUIRE(fixture.run_until([&] { return io.completions().size() == 1; }));
     REQUIRE(nvme::Status::from(io.completions()[0].status).ok());
   }
   nvme::Sqe read(std::uint16_t cid) const {
@@ -91,109 +92,111 @@
     q.sgl_length = 4096;
     return q;
   }
-  Raw admin;
-  Raw io;
+  RawPeer admin;
+  RawPeer io;
 };
 
 }  // namespace
 
-TEST_CASE("the same identifier twice: the second gets its error, the first its answer") {
-  Rig r;
-  r.start();
-  r.nodes[0]->answers.reset();
-  RawQueue q(r);
+TEST_CASE("a duplicate command identifier is answered with an error; the first command completes") {
+  GatewayFixture fixture;
+  fixture.start();
+  fixture.nodes[0]->auto_response.reset();
+  RawQueue q(fixture);
   q.io.command(q.read(9));
-  REQUIRE(r.until([&] { return r.nodes[0]->came.size() == 1; }));
+  REQUIRE(fixture.run_until([&] { return fixture.nodes[0]->commands.size() == 1; }));
   q.io.command(q.read(9));
-  REQUIRE(r.until([&] { return q.io.completions().size() == 2; }));
+  REQUIRE(fixture.run_until([&] { return q.io.completions().size() == 2; }));
   CHECK(nvme::Status::from(q.io.completions()[1].status) == st::kIdConflict);
-  CHECK(r.nodes[0]->came.size() == 1);
-  r.nodes[0]->answer(0);
-  REQUIRE(r.until([&] { return q.io.completions().size() == 3; }));
+  CHECK(fixture.nodes[0]->commands.size() == 1);
+  fixture.nodes[0]->respond(0);
+  REQUIRE(fixture.run_until([&] { return q.io.completions().size() == 3; }));
   CHECK(nvme::Status::from(q.io.completions()[2].status).ok());
 }
 
 TEST_CASE(
-    "data beyond a write's end, or none at all, does not run it again; a read needs a buffer of its own") {
-  Rig r;
-  r.start();
-  r.nodes[0]->answers.reset();
-  RawQueue q(r);
+    "data beyond the end of a write does not execute it again; a read with an in-capsule buffer is invalid") {
+  GatewayFixture fixture;
+  fixture.start();
+  fixture.nodes[0]->auto_response.reset();
+  RawQueue q(fixture);
   nvme::Sqe w = q.read(3);
   w.opcode = nvme::opcode::kWrite;
   w.sgl_type = nvme::kSglInCapsule;
   const nvme::Bytes block(4096, 1);
   q.io.command(w, block);
-  REQUIRE(r.until([&] { return r.nodes[0]->came.size() == 1; }));
-  nvme::DataPdu d;  // of no bytes, where the next would stand
+  REQUIRE(fixture.run_until([&] { return fixture.nodes[0]->commands.size() == 1; }));
+  nvme::DataPdu d;  // empty, at the end of the data
   d.header.type = static_cast<std::uint8_t>(nvme::PduType::kH2cData);
   d.cid = d.ttag = 3;
   d.offset = 4096;
   nvme::Bytes out;
   nvme::append_pdu(out, nvme::bytes_of(d), {}, {});
   q.io.stream.send(out);
-  r.until([&] { return q.io.gone || r.scheduler->counts().landed > 1; });
-  CHECK(r.scheduler->counts().landed == 1);
-  CHECK(q.io.gone);  // that is no part of the protocol: it ends the connection, and nothing else
-  CHECK(r.nodes[0]->came.size() == 1);
-  RawQueue other(r);
+  fixture.run_until([&] { return q.io.closed || fixture.scheduler->counts().arrived > 1; });
+  CHECK(fixture.scheduler->counts().arrived == 1);
+  CHECK(q.io.closed);  // a protocol violation, which closes the connection
+  CHECK(fixture.nodes[0]->commands.size() == 1);
+  RawQueue other(fixture);
   nvme::Sqe bad = other.read(4);
   bad.sgl_type = nvme::kSglInCapsule;
   other.io.command(bad);
-  REQUIRE(r.until([&] { return other.io.completions().size() == 2; }));
+  REQUIRE(fixture.run_until([&] { return other.io.completions().size() == 2; }));
   CHECK(nvme::Status::from(other.io.completions()[1].status) == st::kInvalidSgl);
 }
 
-TEST_CASE("10,000 commands without reading an answer: that client waits, the others do not") {
-  Rig r;
-  r.start();
-  RawQueue q(r);
-  auto& other = r.client();
+TEST_CASE("a client that sends 10,000 commands and reads no response does not block the others") {
+  GatewayFixture fixture;
+  fixture.start();
+  RawQueue q(fixture);
+  auto& other = fixture.client();
   q.io.stream.pause(true);
   for (int i = 0; i < 10000; ++i) q.io.command(q.read(static_cast<std::uint16_t>(i)));
   for (std::uint64_t i = 0; i < 50; ++i) {
     other.read(i, i % 64);
-    REQUIRE(r.until([&] { return other.answers.contains(i); }));
+    REQUIRE(fixture.run_until([&] { return other.completions.contains(i); }));
   }
-  CHECK(r.scheduler->counts().landed < 10000);
-  CHECK(r.scheduler->open() <= 128 + 1);
+  CHECK(fixture.scheduler->counts().arrived < 10000);
+  CHECK(fixture.scheduler->open() <= 128 + 1);
   q.io.stream.pause(false);
-  REQUIRE(r.until([&] { return q.io.completions().size() == 10001; }));
+  REQUIRE(fixture.run_until([&] { return q.io.completions().size() == 10001; }));
 }
 
-TEST_CASE("half-open and silent peers are closed in time, and connections are bounded") {
-  Rig r;
-  r.config.most_connections = 8;
-  r.start();
-  std::vector<std::unique_ptr<Raw>> raws;
-  for (int i = 0; i < 12; ++i) raws.push_back(std::make_unique<Raw>(r.loop, r.scheduler->address()));
-  const auto gone = [&] { return std::count_if(raws.begin(), raws.end(), [](auto& p) { return p->gone; }); };
-  REQUIRE(r.until([&] { return gone() >= 4; }));   // over the bound
-  REQUIRE(r.until([&] { return gone() == 12; }));  // never got up
-  auto& c = r.client();
+TEST_CASE("half-open connections are closed after a timeout, and the number of connections is bounded") {
+  GatewayFixture fixture;
+  fixture.config.max_connections = 8;
+  fixture.start();
+  std::vector<std::unique_ptr<RawPeer>> peers;
+  for (int i = 0; i < 12; ++i)
+    peers.push_back(std::make_unique<RawPeer>(fixture.loop, fixture.scheduler->address()));
+  const auto closed_peers = [&] {
+    return std::count_if(peers.begin(), peers.end(), [](auto& p) { return p->closed; });
+  };
+  REQUIRE(fixture.run_until([&] { return closed_peers() >= 4; }));   // beyond max_connections
+  REQUIRE(fixture.run_until([&] { return closed_peers() == 12; }));  // handshake timeout
+  auto& c = fixture.client();
   c.read(1, 0);
-  CHECK(r.until([&] { return c.answers.size() == 1; }));
+  CHECK(fixture.run_until([&] { return c.completions.size() == 1; }));
 }
 
-TEST_CASE(
-    "broken PDUs of a fixed seed against a scheduler: closed with a TermReq or answered, never an effect") {
-  Rig r;
-  r.config.most_connections = 2000;
-  r.start();
+TEST_CASE("malformed PDUs, of a fixed seed, are answered or end in a TermReq, and are never dispatched") {
+  GatewayFixture fixture;
+  fixture.config.max_connections = 2000;
+  fixture.start();
   std::uint32_t x = 99;
   const auto next = [&] { return x = x * 1664525 + 1013904223, x >> 8; };
-  std::vector<std::unique_ptr<Raw>> raws;
+  std::vector<std::unique_ptr<RawPeer>> peers;
   int terms = 0;
   for (int i = 0; i < 300; ++i) {
-    raws.push_back(std::make_unique<Raw>(r.loop, r.scheduler->address()));
-    Raw& p = *raws.back();
-    REQUIRE(r.until([&] { return p.up; }));
+    peers.push_back(std::make_unique<RawPeer>(fixture.loop, fixture.scheduler->address()));
+    RawPeer& p = *peers.back();
+    REQUIRE(fixture.run_until([&] { return p.connected; }));
     if (next() % 4 != 0) p.init();
     if (next() % 2 == 0)
       p.connect(static_cast<std::uint16_t>(next() % 3), static_cast<std::uint16_t>(next()));
     nvme::Bytes junk(next() % 400);
     for (auto& b : junk) b = static_cast<std::uint8_t>(next());
-    if (junk.size() > 8 && next() % 2 == 0) {  // a plausible start
+    if (junk.size() > 8 && next() % 2 == 0) {  // a plausible header
       junk[0] = static_cast<std::uint8_t>(next() % 10);
       junk[1] = 0;
       junk[2] = next() % 2 == 0 ? 72 : 24;
@@ -201,40 +204,40 @@
     }
     p.stream.send(junk);
     if (next() % 3 == 0) p.stream.close();
-    if (i % 20 == 0) r.run(0.01);
+    if (i % 20 == 0) fixture.run_for(0.01);
   }
-  r.run(0.2);
-  for (auto& p : raws) {
-    for (std::size_t at = 0; at + 8 <= p->in.size();) {
-      const auto h = nvme::read_as<nvme::PduHeader>(nvme::View(p->in).subspan(at));
+  fixture.run_for(0.2);
+  for (auto& p : peers) {
+    for (std::size_t at = 0; at + 8 <= p->received.size();) {
+      const auto h = nvme::read_as<nvme::PduHeader>(nvme::View(p->received).subspan(at));
       if (h.plen < 8) break;
       if (h.type == static_cast<std::uint8_t>(nvme::PduType::kC2hTermReq)) ++terms;
       at += h.plen;
     }
   }
   CHECK(terms > 20);
-  CHECK(r.nodes[0]->came.empty());
-  CHECK(r.nodes[1]->came.empty());
-  auto& c = r.client();
+  CHECK(fixture.nodes[0]->commands.empty());
+  CHECK(fixture.nodes[1]->commands.empty());
+  auto& c = fixture.client();
   c.read(1, 0);
-  REQUIRE(r.until([&] { return c.answers.size() == 1; }));
+  REQUIRE(fixture.run_until([&] { return c.completions.size() == 1; }));
   CHECK(c.status(1) == st::kOk);
 }
 
-TEST_CASE("a controller that breaks framing: the host's end says so and ends every command once") {
+TEST_CASE("the host closes its connection to a controller that sends malformed PDUs") {
   const MonotonicClock clock;
   Loop loop(clock);
   std::uint32_t x = 7;
   const auto next = [&] { return x = x * 1664525 + 1013904223, x >> 8; };
-  struct Mute final : StreamHandler {
+  struct IgnoringHandler final : StreamHandler {
     std::size_t on_received(nvme::View b) override { return b.size(); }
     void on_closed(const std::string&) override {}
-  } mute;
+  } ignoring;
   int downs = 0;
   for (int i = 0; i < 100; ++i) {
     std::vector<std::unique_ptr<Stream>> accepted;
     Listener listener(loop, listen_on({"127.0.0.1", 0}), [&](Fd fd) {
-      accepted.push_back(std::make_unique<Stream>(loop, std::move(fd), mute));
+      accepted.push_back(std::make_unique<Stream>(loop, std::move(fd), ignoring));
       nvme::Bytes junk(8 + next() % 300);
       for (auto& b : junk) b = static_cast<std::uint8_t>(next());
       if (next() % 2 == 0) {
@@ -249,10 +252,10 @@
       }
       accepted.back()->send(junk);
     });
-    ScriptClient c(loop, listener.address());
+    TestClient c(loop, listener.address());
     const double end = clock.now() + 10;
-    while (c.reason.empty() && clock.now() < end) loop.run_once(0.01);
-    if (!c.reason.empty()) ++downs;
+    while (c.down_reason.empty() && clock.now() < end) loop.run_once(0.01);
+    if (!c.down_reason.empty()) ++downs;
     CHECK_FALSE(c.host->ready());
   }
   CHECK(downs == 100);
--- a/tests/nvme/host_test.cpp
+++ b/tests/nvme/host_test.cpp
@@ -4,8 +4,8 @@
 
 #include <map>
 
-#include "gateway/list_watch.h"
-#include "gateway/node_link.h"
+#include "gateway/endpoint_list_watch.h"
+#include "gateway/node_connection.h"
 
 using namespace heronworks;
 using namespace heronworks::nvme;
@@ -114,12 +114,12 @@
   std::unique_ptr<Listener> listener_;
 };
 
-struct Ends final : gateway::NodeLinkOwner {
-  void ended(int, const gateway::Dispatch& d, Outcome o, Completion&&) override {
+struct Ends final : gateway::NodeConnectionOwner {
+  void dispatch_ended(int, const gateway::Dispatch& d, Outcome o, Completion&&) override {
     CHECK_FALSE(outcomes.contains(d.transaction));
     outcomes[d.transaction] = o;
   }
-  void link_changed(int, const char* event, const std::string& reason) override {
+  void connection_changed(int, const char* event, const std::string& reason) override {
     events += std::string(event) + " " + reason + "\n";
   }
   std::map<int, Outcome> outcomes;
@@ -128,11 +128,11 @@
 
 struct Rig {
   Rig() : loop(clock), node(loop) {
-    gateway::NodeLink::Options o;
+    gateway::NodeConnection::Options o;
     o.host.address = node.address;
     o.host.depth = 8;
     o.host.connect_timeout = 10;
-    link = std::make_unique<gateway::NodeLink>(loop, 0, o, ends);
+    link = std::make_unique<gateway::NodeConnection>(loop, 0, o, ends);
     link->open();
     REQUIRE(until([&] { return node.io() != nullptr; }));
   }
@@ -150,11 +150,11 @@
     gateway::Dispatch d;
     d.transaction = transaction;
     d.sent_at = clock.now();
-    d.until = clock.now() + time;
+    d.deadline = clock.now() + time;
     d.sqe.opcode = write ? opcode::kWrite : opcode::kRead;
     d.sqe.set_blocks(blocks);
-    if (write) d.out = std::make_shared<const Bytes>(blocks * 4096);
-    else d.in = blocks * 4096;
+    if (write) d.write_data = std::make_shared<const Bytes>(blocks * 4096);
+    else d.read_bytes = blocks * 4096;
     REQUIRE(node.io());
     const auto count = node.io()->came.size();
     link->send(std::move(d));
@@ -168,7 +168,7 @@
   Loop loop;
   RawController node;
   Ends ends;
-  std::unique_ptr<gateway::NodeLink> link;
+  std::unique_ptr<gateway::NodeConnection> link;
 };
 
 }  // namespace
@@ -192,7 +192,7 @@
     CHECK(r.ends.outcomes[i + 1] == Outcome::kSucceeded);
   }
   CHECK(r.ends.events.find("lost") == std::string::npos);
-  CHECK(r.link->out() == 0);
+  CHECK(r.link->pending() == 0);
 }
 
 TEST_CASE("a completion that comes again after other commands, from any place, ends nothing") {
@@ -220,7 +220,7 @@
   r.node.io()->complete(0xfff0);
   REQUIRE(r.over(1));
   CHECK(r.ends.outcomes[1] == Outcome::kReset);
-  CHECK(r.link->out() == 0);
+  CHECK(r.link->pending() == 0);
 }
 
 TEST_CASE("a read with fewer bytes than asked for, or a write whose data was not taken, is not honoured") {
@@ -280,17 +280,17 @@
   // The next one goes by a new connection, whether it came before or after.
   gateway::Dispatch d;
   d.transaction = 3;
-  d.until = r.clock.now() + 10;
+  d.deadline = r.clock.now() + 10;
   d.sqe.opcode = opcode::kRead;
-  d.in = 4096;
+  d.read_bytes = 4096;
   r.link->send(std::move(d));
   REQUIRE(r.until([&] { return r.node.io() && r.node.io()->came.size() == 1; }));
   r.node.io()->data(r.node.io()->came[0].cid, 4096);
   r.node.io()->complete(r.node.io()->came[0].cid);
   REQUIRE(r.over(3));
   CHECK(r.ends.outcomes[3] == Outcome::kSucceeded);
-  CHECK(r.link->out() == 0);
-  CHECK(r.link->waiting() == 0);
+  CHECK(r.link->pending() == 0);
+  CHECK(r.link->queued() == 0);
 }
 
 TEST_CASE(
@@ -300,11 +300,11 @@
   Loop loop(clock);
   RawController node(loop);
   Ends ends;
-  gateway::NodeLink::Options o;
+  gateway::NodeConnection::Options o;
   o.host.address = node.address;
   o.host.depth = 8;
   o.host.keep_alive = 0;
-  gateway::NodeLink link(loop, 0, o, ends);
+  gateway::NodeConnection link(loop, 0, o, ends);
   const auto settle = [&] {
     for (int i = 0; i < 4; ++i) loop.run_once(0);
   };
@@ -321,10 +321,10 @@
       const auto send = [&](int transaction, bool write) {
         gateway::Dispatch d;
         d.transaction = transaction;
-        d.until = clock.now() + 1;
+        d.deadline = clock.now() + 1;
         d.sqe.opcode = write ? opcode::kWrite : opcode::kRead;
-        if (write) d.out = std::make_shared<const Bytes>(8192);
-        else d.in = 4096;
+        if (write) d.write_data = std::make_shared<const Bytes>(8192);
+        else d.read_bytes = 4096;
         link.send(std::move(d));
       };
       send(0, false);
@@ -386,11 +386,11 @@
           std::find(order.begin(), order.end(), kAsk) < std::find(order.begin(), order.end(), last) &&
           std::find(order.begin(), order.end(), kAsk) < std::find(order.begin(), order.end(), kWriteDone);
       CHECK(peer.data_got == (in_time ? 8192 : 0));
-      CHECK(link.out() == 0);
-      CHECK(link.waiting() == 0);
+      CHECK(link.pending() == 0);
+      CHECK(link.queued() == 0);
       for (const auto& [t, outcome] : ends.outcomes) ++seen[outcome];
       ++orderings;
-      link.restart("the next ordering");
+      link.reset("the next ordering");
       settle();
       std::erase_if(node.peers, [](auto& p) { return p->gone; });
     } while (std::next_permutation(order.begin(), order.end()));
@@ -407,7 +407,7 @@
   const MonotonicClock clock;
   Loop loop(clock);
   RawController list(loop);
-  std::vector<gateway::ListedNode> nodes{{{"127.0.0.1", 9}, 0, 0, NodeState::kReady, 0}};
+  std::vector<gateway::ListedEndpoint> nodes{{{"127.0.0.1", 9}, 0, 0, NodeState::kReady, 0}};
   bool refuses_events = true;
   list.admin = [&](RawController::Peer& p, const Sqe& c) {
     if (c.opcode == opcode::kAsyncEvent) {
@@ -415,7 +415,7 @@
       return true;
     }
     if (c.opcode != opcode::kGetLogPage) return false;
-    const Bytes page = gateway::encode_list(nodes, 1, "x");
+    const Bytes page = gateway::encode_endpoint_list(nodes, 1, "x");
     DataPdu d;
     d.header.flags = kLastPdu;
     d.cid = c.cid;
@@ -424,9 +424,9 @@
     p.complete(c.cid);
     return true;
   };
-  struct Told final : gateway::ListOwner {
-    void list_came(std::vector<gateway::ListedNode>) override { ++came; }
-    void list_failed(const std::string& r) override {
+  struct Told final : gateway::EndpointListOwner {
+    void endpoint_list_received(std::vector<gateway::ListedEndpoint>) override { ++came; }
+    void endpoint_list_failed(const std::string& r) override {
       ++failed;
       reason = r;
     }
@@ -438,19 +438,19 @@
   o.address = list.address;
   o.depth = 0;
   o.keep_alive = 0;
-  gateway::ListWatch watch(loop, o, told);
+  gateway::EndpointListWatch watch(loop, o, told);
   const auto until = [&](const std::function<bool()>& done) {
     const double end = clock.now() + 20;
     while (!done() && clock.now() < end) loop.run_once(0.01);
     return done();
   };
-  watch.watch();
+  watch.refresh();
   REQUIRE(until([&] { return told.failed == 1; }));
   refuses_events = false;
-  watch.watch();
+  watch.refresh();
   REQUIRE(until([&] { return told.came > 0; }));
   nodes[0].shard = 2000000000;
-  watch.watch();
+  watch.refresh();
   REQUIRE(until([&] { return told.failed == 2; }));
-  CHECK(told.reason == "not a list: record 0: no such shard");
+  CHECK(told.reason == "invalid endpoint list: record 0: shard 2000000000 is not below 65536");
 }
