--- a/src/config/expression_rules.cpp
+++ b/src/config/expression_rules.cpp
@@ -26,7 +26,7 @@
     }
     set.reject_unknown_keys();
     std::string reason;
-    if (!expr::Networks::make(entries, sets[name], reason)) set.add_problem("networks", reason);
+    if (!expr::NetworkSet::parse(entries, sets[name], reason)) set.add_problem("networks", reason);
   }
 }
 
@@ -44,9 +44,10 @@
     const std::string name = s.require_text("name");
     const std::string is = s.require_text("is");
     s.reject_unknown_keys();
-    std::vector<expr::Fault> faults;
-    if (!name.empty() && !is.empty()) definitions.add(name, is, *rules.networks, expr::Limits{}, faults);
-    for (const expr::Fault& f : faults) s.add_problem("is", expr::shown(is, f));
+    std::vector<expr::Diagnostic> diagnostics;
+    if (!name.empty() && !is.empty()) definitions.add(name, is, *rules.networks, expr::Limits{}, diagnostics);
+    for (const expr::Diagnostic& diagnostic : diagnostics)
+      s.add_problem("is", expr::format_diagnostic(is, diagnostic));
   }
   std::vector<Section> tables = root.list("rule");
   std::vector<expr::RuleSource> sources;
@@ -57,8 +58,8 @@
     rule.key = s.text("key", "");
     rule.units = s.text("units", "");
     if (s.has("profile")) rule.profile = s.one_of("profile", profile_names, -1);
-    rule.turn_back = s.text("turn_back", "");
-    rule.most_share = s.number("most_share", 1, 0, 1);
+    rule.reject_reason = s.text("turn_back", "");
+    rule.max_share = s.number("most_share", 1, 0, 1);
     Section labels = s.section("labels");
     for (const std::string& name : labels.keys()) rule.labels.emplace_back(name, labels.text(name, ""));
     std::size_t label_bytes = 0;
@@ -72,13 +73,18 @@
   }
   std::vector<bool> ordered;
   for (const Profile& p : profiles) ordered.push_back(p.ordered_by_key);
-  std::vector<expr::RuleFault> faults;
-  auto set = expr::RuleSet::make(sources, definitions, *rules.networks, expr::Limits{}, {}, ordered, faults);
-  for (const expr::RuleFault& f : faults) {
-    const expr::RuleSource& rule = sources[f.rule];
-    const std::string text = f.field == "when" ? rule.when : f.field == "key" ? rule.key : rule.units;
-    if (f.field.empty()) root.add_problem("rule", f.fault.text);
-    else tables[f.rule].add_problem(f.field, expr::shown(text, f.fault));
+  std::vector<expr::RuleDiagnostic> diagnostics;
+  auto set =
+      expr::RuleSet::make(sources, definitions, *rules.networks, expr::Limits{}, {}, ordered, diagnostics);
+  for (const expr::RuleDiagnostic& diagnostic : diagnostics) {
+    const expr::RuleSource& rule = sources[diagnostic.rule];
+    const std::string text = diagnostic.field == "when"  ? rule.when
+                             : diagnostic.field == "key" ? rule.key
+                                                         : rule.units;
+    if (diagnostic.field.empty()) root.add_problem("rule", diagnostic.diagnostic.message);
+    else
+      tables[diagnostic.rule].add_problem(diagnostic.field,
+                                          expr::format_diagnostic(text, diagnostic.diagnostic));
   }
   if (problems.size() > problems_before || !set) return std::nullopt;
   rules.set = std::move(*set);
--- a/src/config/reader.cpp
+++ b/src/config/reader.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <sstream>
 
-#include "expr/nearest.h"
+#include "expr/suggest.h"
 
 namespace heronworks::config {
 namespace {
@@ -105,7 +105,7 @@
   }
   std::string alternatives;
   for (const std::string& word : words) alternatives += (alternatives.empty() ? "" : ", ") + word;
-  const std::string suggestion = value ? expr::nearest(*value, words) : "";
+  const std::string suggestion = value ? expr::suggest(*value, words) : "";
   add_problem(key, "must be one of " + alternatives +
                        (suggestion.empty() ? "" : "; did you mean " + suggestion + "?"));
   return default_value;
@@ -175,7 +175,7 @@
   for (const auto& [key, node] : *table_) {
     const std::string name(key.str());
     if (known_keys_.contains(name)) continue;
-    const std::string suggestion = expr::nearest(name, words);
+    const std::string suggestion = expr::suggest(name, words);
     problems_->push_back(
         {file_, key.source().begin.line, key.source().begin.column, field(name),
          "unknown key" + (suggestion.empty() ? std::string() : "; did you mean " + suggestion + "?")});
--- a/src/gateway/endpoint_list_watch.cpp
+++ b/src/gateway/endpoint_list_watch.cpp
@@ -22,40 +22,39 @@
 
 }  // namespace
 
-std::optional<std::vector<ListedEndpoint>> decode_endpoint_list(nvme::View bytes, std::string& reason) {
+std::optional<std::vector<ListedEndpoint>> decode_endpoint_list(nvme::ByteView bytes, std::string& reason) {
   if (bytes.size() < sizeof(nvme::DiscoveryHeader))
     return reason = "header truncated: got " + std::to_string(bytes.size()) + " of 1024 bytes", std::nullopt;
   const auto header = nvme::read_as<nvme::DiscoveryHeader>(bytes);
-  if (header.format != 0)
-    return reason = "unknown record format " + std::to_string(header.format), std::nullopt;
-  if (header.records > kMaxEndpoints || bytes.size() < kRecordBytes * (1 + header.records))
-    return reason = std::to_string(header.records) + " records do not fit in " +
-                    std::to_string(bytes.size()) + " bytes, or are more than " +
-                    std::to_string(kMaxEndpoints),
+  if (header.recfmt != 0)
+    return reason = "unknown record format " + std::to_string(header.recfmt), std::nullopt;
+  if (header.numrec > kMaxEndpoints || bytes.size() < kRecordBytes * (1 + header.numrec))
+    return reason = std::to_string(header.numrec) + " records do not fit in " + std::to_string(bytes.size()) +
+                    " bytes, or are more than " + std::to_string(kMaxEndpoints),
            std::nullopt;
   std::vector<ListedEndpoint> endpoints;
-  for (std::size_t i = 0; i < header.records; ++i) {
+  for (std::size_t i = 0; i < header.numrec; ++i) {
     const auto entry = nvme::read_as<nvme::DiscoveryEntry>(bytes.subspan(kRecordBytes * (i + 1)));
     const std::string prefix = "record " + std::to_string(i) + ": ";
-    if (entry.transport != 3 || entry.kind != 2) continue;  // not TCP, or a referral
-    if (std::string(entry.vendor.data(), 4) != "HWK1")
+    if (entry.trtype != 3 || entry.subtype != 2) continue;  // not TCP, or a referral
+    if (std::string(entry.vendor_signature.data(), 4) != "HWK1")
       return reason = prefix + "vendor-specific field does not start with HWK1", std::nullopt;
-    const std::string host = nvme::get_text(entry.address);
-    const std::string port = nvme::get_text(entry.service);
-    const auto address = Address::parse((entry.family == 2 ? "[" + host + "]" : host) + ":" + port);
+    const std::string host = nvme::get_text(entry.traddr);
+    const std::string port = nvme::get_text(entry.trsvcid);
+    const auto address = Address::parse((entry.adrfam == 2 ? "[" + host + "]" : host) + ":" + port);
     if (!address) return reason = prefix + "invalid address '" + host + ":" + port + "'", std::nullopt;
     if (entry.shard >= kMaxShards)
       return reason = prefix + "shard " + std::to_string(entry.shard) + " is not below " +
                       std::to_string(kMaxShards),
              std::nullopt;
-    if (entry.listing < 1 || entry.listing > 2)
-      return reason = prefix + "unknown state " + std::to_string(entry.listing), std::nullopt;
+    if (entry.node_state < 1 || entry.node_state > 2)
+      return reason = prefix + "unknown state " + std::to_string(entry.node_state), std::nullopt;
     ListedEndpoint endpoint;
     endpoint.address = *address;
     endpoint.zone = entry.zone;
     endpoint.shard = static_cast<int>(entry.shard);
-    endpoint.state = entry.listing == 1 ? NodeState::kReady : NodeState::kDraining;
-    endpoint.started_at = entry.came_up;
+    endpoint.state = entry.node_state == 1 ? NodeState::kReady : NodeState::kDraining;
+    endpoint.started_at = entry.started_at;
     endpoints.push_back(std::move(endpoint));
   }
   return endpoints;
@@ -65,22 +64,22 @@
                                  const std::string& subsystem) {
   nvme::Bytes bytes(kRecordBytes * (endpoints.size() + 1));
   nvme::DiscoveryHeader header;
-  header.generation = generation;
-  header.records = endpoints.size();
+  header.genctr = generation;
+  header.numrec = endpoints.size();
   std::memcpy(bytes.data(), &header, sizeof header);
   for (std::size_t i = 0; i < endpoints.size(); ++i) {
     const ListedEndpoint& endpoint = endpoints[i];
     nvme::DiscoveryEntry entry;
-    entry.family = endpoint.address.host.find(':') == std::string::npos ? 1 : 2;
-    entry.port = static_cast<std::uint16_t>(i + 1);
-    nvme::put_text(entry.service, std::to_string(endpoint.address.port), ' ');
-    nvme::put_text(entry.subsystem, subsystem);
-    nvme::put_text(entry.address, endpoint.address.host, ' ');
-    nvme::put_text(entry.vendor, "HWK1");
-    entry.listing = endpoint.state == NodeState::kDraining ? 2 : 1;
+    entry.adrfam = endpoint.address.host.find(':') == std::string::npos ? 1 : 2;
+    entry.portid = static_cast<std::uint16_t>(i + 1);
+    nvme::put_text(entry.trsvcid, std::to_string(endpoint.address.port), ' ');
+    nvme::put_text(entry.subnqn, subsystem);
+    nvme::put_text(entry.traddr, endpoint.address.host, ' ');
+    nvme::put_text(entry.vendor_signature, "HWK1");
+    entry.node_state = endpoint.state == NodeState::kDraining ? 2 : 1;
     entry.zone = static_cast<std::uint16_t>(endpoint.zone);
     entry.shard = static_cast<std::uint32_t>(endpoint.shard);
-    entry.came_up = endpoint.started_at;
+    entry.started_at = endpoint.started_at;
     std::memcpy(bytes.data() + kRecordBytes * (i + 1), &entry, sizeof entry);
   }
   return bytes;
@@ -142,7 +141,7 @@
   }
 }
 
-void EndpointListWatch::ready() {
+void EndpointListWatch::on_ready() {
   request_event();
   fetch();
 }
@@ -151,7 +150,7 @@
   if (event_requested_) return;
   event_requested_ = true;
   nvme::Sqe sqe;
-  sqe.opcode = nvme::opcode::kAsyncEvent;
+  sqe.opcode = nvme::opcode::kAsyncEventRequest;
   host_->submit_admin(kEventToken, sqe, nullptr, 0);
 }
 
@@ -168,14 +167,14 @@
   log_page_.clear();
   nvme::Sqe sqe;
   sqe.opcode = nvme::opcode::kGetLogPage;
-  const std::uint32_t words = std::min(host_->transfer_limit(), std::uint32_t{1} << kMaxPartShift) / 4 - 1;
-  sqe.cdw10 = nvme::kLogDiscovery | words << 16;
+  const std::uint32_t words = std::min(host_->max_transfer_size(), std::uint32_t{1} << kMaxPartShift) / 4 - 1;
+  sqe.cdw10 = nvme::kLogPageDiscovery | words << 16;
   sqe.cdw11 = words >> 16;
   host_->submit_admin(kLogPageToken, sqe, nullptr, (words + 1) * 4);
 }
 
-void EndpointListWatch::completed(std::uint64_t token, nvme::Completion&& completion) {
-  if (!completion.arrived) return;  // down() follows
+void EndpointListWatch::on_completed(std::uint64_t token, nvme::Completion&& completion) {
+  if (!completion.arrived) return;  // on_disconnected() follows
   if (token == kEventToken) {
     event_requested_ = false;
     // Without an event request, changes of the list would go unnoticed.
@@ -195,17 +194,18 @@
   if (log_page_.size() < sizeof(nvme::DiscoveryHeader))
     return host_->close("endpoint list truncated after " + std::to_string(log_page_.size()) + " bytes");
   const auto header = nvme::read_as<nvme::DiscoveryHeader>(log_page_);
-  if (header.records > kMaxEndpoints)
-    return host_->close("endpoint list has " + std::to_string(header.records) + " records, at most " +
+  if (header.numrec > kMaxEndpoints)
+    return host_->close("endpoint list has " + std::to_string(header.numrec) + " records, at most " +
                         std::to_string(kMaxEndpoints) + " are supported");
-  const std::size_t list_bytes = kRecordBytes * (1 + header.records);
+  const std::size_t list_bytes = kRecordBytes * (1 + header.numrec);
   if (log_page_.size() < list_bytes) {
     nvme::Sqe sqe;
     sqe.opcode = nvme::opcode::kGetLogPage;
-    const auto remaining = static_cast<std::uint32_t>(std::min<std::size_t>(
-        list_bytes - log_page_.size(), std::min(host_->transfer_limit(), std::uint32_t{1} << kMaxPartShift)));
+    const auto remaining = static_cast<std::uint32_t>(
+        std::min<std::size_t>(list_bytes - log_page_.size(),
+                              std::min(host_->max_transfer_size(), std::uint32_t{1} << kMaxPartShift)));
     const std::uint32_t words = remaining / 4 - 1;
-    sqe.cdw10 = nvme::kLogDiscovery | words << 16;
+    sqe.cdw10 = nvme::kLogPageDiscovery | words << 16;
     sqe.cdw11 = words >> 16;
     sqe.cdw12 = static_cast<std::uint32_t>(log_page_.size());
     return host_->submit_admin(kLogPageToken, sqe, nullptr, remaining);
@@ -223,7 +223,7 @@
   if (changed && host_ && host_->ready()) fetch();
 }
 
-void EndpointListWatch::down(const std::string& reason) {
+void EndpointListWatch::on_disconnected(const std::string& reason) {
   loop_.cancel(fetch_timer_);
   fetching_ = event_requested_ = changed_during_fetch_ = false;
   host_.reset();
--- a/src/gateway/endpoint_list_watch.h
+++ b/src/gateway/endpoint_list_watch.h
@@ -17,7 +17,7 @@
 };
 
 // Decode and encode a discovery log page. Decoding fails with a reason if any record is malformed.
-std::optional<std::vector<ListedEndpoint>> decode_endpoint_list(nvme::View bytes, std::string& reason);
+std::optional<std::vector<ListedEndpoint>> decode_endpoint_list(nvme::ByteView bytes, std::string& reason);
 nvme::Bytes encode_endpoint_list(const std::vector<ListedEndpoint>& endpoints, std::uint64_t generation,
                                  const std::string& subsystem);
 
@@ -34,7 +34,7 @@
   virtual void endpoint_list_failed(const std::string& reason) = 0;
 };
 
-class EndpointListWatch final : public nvme::HostOwner {
+class EndpointListWatch final : public nvme::HostHandler {
  public:
   EndpointListWatch(Loop& loop, nvme::HostOptions options, EndpointListOwner& owner);
   // Connects if necessary and fetches the list; from then on fetches it again after each change event. Each
@@ -42,9 +42,9 @@
   // endpoint_list_failed as well; refresh() must then be called again.
   void refresh();
 
-  void ready() override;
-  void completed(std::uint64_t token, nvme::Completion&& completion) override;
-  void down(const std::string& reason) override;
+  void on_ready() override;
+  void on_completed(std::uint64_t token, nvme::Completion&& completion) override;
+  void on_disconnected(const std::string& reason) override;
 
  private:
   void fetch();
--- a/src/gateway/matcher.cpp
+++ b/src/gateway/matcher.cpp
@@ -9,14 +9,14 @@
 
 std::vector<double> max_shares(const expr::RuleSet& rules) {
   std::vector<double> out;
-  for (std::size_t i = 0; i < rules.size(); ++i) out.push_back(rules.rule(static_cast<int>(i)).most_share);
+  for (std::size_t i = 0; i < rules.size(); ++i) out.push_back(rules.rule(static_cast<int>(i)).max_share);
   return out;
 }
 
 }  // namespace
 
 Matcher::Matcher(const config::GatewayConfig& config)
-    : config_(config), ranges_(config.volumes), rule_shares_(max_shares(config.rules->set)) {
+    : config_(config), ranges_(config.volumes), share_limiter_(max_shares(config.rules->set)) {
   std::sort(ranges_.begin(), ranges_.end(), [](auto& a, auto& b) { return a.first < b.first; });
   int index = 0;
   std::map<std::string, std::size_t> tenants;
@@ -77,10 +77,10 @@
   result.tenant = tenant_of_range_[range_index];
   t.volume = first_volume_index_[range_index] + static_cast<int>(sqe.nsid - ranges_[range_index].first);
   t.shard = append ? -1 : static_cast<int>(zone % config_.shards);
-  // The key of a new object is the client's label, if there is one.
-  t.has_key = !append || sqe.label() != 0;
+  // The key of a new object is the idempotency key that the client gave, if any.
+  t.has_key = !append || sqe.idempotency_key() != 0;
   // The odd factor gives each volume its own keys, spread over all values.
-  t.key = append ? sqe.label() : sqe.nsid * 0x9e3779b97f4a7c15ULL + lba / config_.key_blocks;
+  t.key = append ? sqe.idempotency_key() : sqe.nsid * 0x9e3779b97f4a7c15ULL + lba / config_.key_blocks;
   if (rules().size() > 0) apply_rules(sqe, client, now, wall_time, result);
   return result;
 }
@@ -101,27 +101,27 @@
   set(FieldId::kLba, Value(append ? std::uint64_t{0} : sqe.slba()));
   set(FieldId::kBlocks, Value(std::uint64_t{sqe.blocks()}));
   set(FieldId::kLength, Value(std::uint64_t{sqe.blocks()} * config_.block_bytes));
-  set(FieldId::kLabel, Value(sqe.label()));
+  set(FieldId::kLabel, Value(sqe.idempotency_key()));
   set(FieldId::kClientName, Value(std::string_view(client.name)));
   set(FieldId::kClientAddress, Value(client.address));
-  set(FieldId::kTry, Value(static_cast<std::uint64_t>(sqe.client_try())));
+  set(FieldId::kTry, Value(static_cast<std::uint64_t>(sqe.client_attempt())));
   set_local_time(wall_time, record);
 
-  rule_shares_.landed(now);
+  share_limiter_.count_transaction(now);
   int first_rule = 0;
   while (true) {
     const auto match = rules().match(machine_, record, first_rule);
-    result.failed_evaluations += match.failures;
-    if (match.failed >= 0) result.last_failed_rule = match.failed;
+    result.failed_evaluations += match.failure_count;
+    if (match.last_failed_rule >= 0) result.last_failed_rule = match.last_failed_rule;
     if (match.rule < 0) return;
-    if (rule_shares_.passes(now, match.rule)) {
+    if (share_limiter_.try_apply(now, match.rule)) {
       result.rule = match.rule;
       break;
     }
     first_rule = match.rule + 1;
   }
   const expr::Rule& rule = rules().rule(result.rule);
-  result.rejected = !rule.turn_back.empty();
+  result.rejected = !rule.reject_reason.empty();
   if (rule.profile >= 0) result.transaction.profile = rule.profile;
   const auto evaluation_failed = [&] {
     ++result.failed_evaluations;
@@ -130,15 +130,15 @@
   Value value;
   if (rule.units) {
     // A number of units outside the allowed range counts as a failed evaluation.
-    if (machine_.run(*rule.units, record, value) != expr::Failure::kNone || value.u < 1 ||
-        value.u > config_.settings.max_transaction_units)
+    if (machine_.run(*rule.units, record, value) != expr::Failure::kNone || value.as_uint < 1 ||
+        value.as_uint > config_.settings.max_transaction_units)
       evaluation_failed();
-    else result.transaction.units = static_cast<double>(value.u);
+    else result.transaction.units = static_cast<double>(value.as_uint);
   }
   if (rule.key) {
     if (machine_.run(*rule.key, record, value) != expr::Failure::kNone) return evaluation_failed();
     result.transaction.has_key = true;
-    result.transaction.key = value.u;
+    result.transaction.key = value.as_uint;
   }
 }
 
--- a/src/gateway/matcher.h
+++ b/src/gateway/matcher.h
@@ -6,8 +6,8 @@
 #include <optional>
 
 #include "config/gateway_config.h"
-#include "expr/gate.h"
-#include "nvme/wire.h"
+#include "expr/share_limiter.h"
+#include "nvme/spec.h"
 #include "state.h"
 
 namespace heronworks::gateway {
@@ -41,7 +41,7 @@
                                    double wall_time, nvme::Status& error);
 
   const expr::RuleSet& rules() const { return config_.rules->set; }
-  const expr::Gate& rule_shares() const { return rule_shares_; }
+  const expr::ShareLimiter& share_limiter() const { return share_limiter_; }
 
  private:
   const config::VolumeRange* find_range(std::uint32_t nsid) const;
@@ -55,7 +55,7 @@
   std::vector<std::size_t> tenant_of_range_;  // by range: its tenant's index
   std::size_t tenant_count_ = 0;
   expr::Machine machine_;
-  expr::Gate rule_shares_;
+  expr::ShareLimiter share_limiter_;
   long cached_minute_ = -1;  // since 1970; the next two belong to it
   std::int64_t minute_of_day_ = 0;
   std::int64_t weekday_ = 1;  // 1 is Monday, 7 is Sunday
--- a/src/gateway/node_connection.cpp
+++ b/src/gateway/node_connection.cpp
@@ -62,9 +62,9 @@
 bool NodeConnection::close_if_degraded() {
   if (!host_ || !host_->ready()) return false;
   const auto awaiting_response = static_cast<std::ptrdiff_t>(pending_.size() - queue_.size());
-  const bool half_lost =
-      2 * (static_cast<std::ptrdiff_t>(host_->out()) - awaiting_response) >= options_.host.depth;
-  if (!half_lost && !host_->asked_late()) return false;
+  const bool half_lost = 2 * (static_cast<std::ptrdiff_t>(host_->outstanding()) - awaiting_response) >=
+                         options_.host.io_queue_size;
+  if (!half_lost && !host_->data_requested_after_cancel()) return false;
   if (awaiting_response == 0) {
     reconnecting_ = true;
     host_->close(half_lost ? "half of the command identifiers are lost to commands that timed out"
@@ -75,7 +75,7 @@
 
 void NodeConnection::send_queued() {
   if (close_if_degraded()) return;
-  while (host_ && host_->ready() && host_->has_room() && host_->unsent() == 0 && !queue_.empty()) {
+  while (host_ && host_->ready() && host_->can_submit() && host_->unsent_bytes() == 0 && !queue_.empty()) {
     const auto token = queue_.front();
     queue_.pop_front();
     const auto found = pending_.find(token);
@@ -86,12 +86,12 @@
   }
 }
 
-void NodeConnection::ready() {
+void NodeConnection::on_ready() {
   owner_.connection_changed(node_, "node.connected", "");
   send_queued();
 }
 
-void NodeConnection::completed(std::uint64_t token, nvme::Completion&& completion) {
+void NodeConnection::on_completed(std::uint64_t token, nvme::Completion&& completion) {
   if (auto node = pending_.extract(token)) {
     finish(std::move(node.mapped()), outcome_of(completion), std::move(completion));
   }
@@ -107,7 +107,7 @@
   const auto position = std::find(queue_.begin(), queue_.end(), token);
   const bool written = position == queue_.end();
   if (!written) queue_.erase(position);
-  else if (host_) host_->withdraw(token);
+  else if (host_) host_->cancel(token);
   auto node = pending_.extract(token);
   if (node) finish(std::move(node.mapped()), written ? Outcome::kTimedOut : Outcome::kConnectFailed, {});
   send_queued();
@@ -121,7 +121,7 @@
   }
 }
 
-void NodeConnection::down(const std::string& reason) {
+void NodeConnection::on_disconnected(const std::string& reason) {
   owner_.connection_changed(node_, "node.lost", reason);
   host_.reset();
   if (!std::exchange(reconnecting_, false)) return finish_queued(Outcome::kConnectFailed);
@@ -131,10 +131,10 @@
 void NodeConnection::drain() {
   draining_ = true;
   finish_queued(Outcome::kConnectFailed);
-  if (!host_ || host_->unsent() == 0) return;
+  if (!host_ || host_->unsent_bytes() == 0) return;
   loop_.cancel(drain_timer_);
   drain_timer_ = loop_.run_at(loop_.now() + kDrainWriteTimeout, [this] {
-    if (draining_ && host_ && host_->unsent() > 0) host_->close("writing to a draining node timed out");
+    if (draining_ && host_ && host_->unsent_bytes() > 0) host_->close("writing to a draining node timed out");
   });
 }
 
@@ -144,7 +144,7 @@
 
 void NodeConnection::check_idle() {
   const double now = loop_.now();
-  if (host_ && pending_.empty() && host_->out() == 0 &&
+  if (host_ && pending_.empty() && host_->outstanding() == 0 &&
       (draining_ || now - last_used_at_ >= options_.idle_timeout)) {
     host_.reset();
     owner_.connection_changed(node_, "node.closed", draining_ ? "drained" : "idle");
--- a/src/gateway/node_connection.h
+++ b/src/gateway/node_connection.h
@@ -31,7 +31,7 @@
   virtual void connection_changed(int node, const char* event, const std::string& reason) = 0;
 };
 
-class NodeConnection final : public nvme::HostOwner {
+class NodeConnection final : public nvme::HostHandler {
  public:
   struct Options {
     nvme::HostOptions host;
@@ -53,10 +53,10 @@
   std::size_t queued() const { return queue_.size(); }
   std::size_t pending() const { return pending_.size(); }  // including queued ones
 
-  void ready() override;
-  void completed(std::uint64_t token, nvme::Completion&& completion) override;
-  void down(const std::string& reason) override;
-  void progressed() override { send_queued(); }
+  void on_ready() override;
+  void on_completed(std::uint64_t token, nvme::Completion&& completion) override;
+  void on_disconnected(const std::string& reason) override;
+  void on_output_drained() override { send_queued(); }
 
  private:
   struct PendingDispatch {
--- a/src/gateway/scheduler.h
+++ b/src/gateway/scheduler.h
@@ -54,7 +54,7 @@
   const Counts& counts() const { return counts_; }
   // Contents of kRejectionReasonsLogPage: a line "number<TAB>name<TAB>reason" for each rule that rejects.
   std::string rejection_reasons() const;
-  std::size_t unsent_bytes() const { return target_->unsent(); }  // of responses to clients
+  std::size_t unsent_bytes() const { return target_->unsent_bytes(); }  // of responses to clients
   bool admission_empty() const { return admission_.empty(); }
   std::size_t open() const { return transactions_.open(); }
 
@@ -71,19 +71,19 @@
 
   // nvme::Backend.
   nvme::Status identify(std::uint8_t cns, std::uint8_t csi, std::uint32_t nsid, nvme::Bytes& page) override;
-  void command(nvme::Command&& command) override;
-  void log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page, std::uint64_t offset,
-                std::uint32_t length) override;
-  void admitted(nvme::ConnectionId connection, const std::string& host, bool admin,
-                const heronworks::Address& peer) override;
-  void closed(nvme::ConnectionId connection) override;
+  void execute_command(nvme::Command&& command) override;
+  void get_log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page, std::uint64_t offset,
+                    std::uint32_t length) override;
+  void connection_established(nvme::ConnectionId connection, const std::string& host, bool admin,
+                              const heronworks::Address& peer) override;
+  void connection_closed(nvme::ConnectionId connection) override;
 
  private:
   // A transaction, from its arrival until the decision module releases it.
   struct PendingTransaction {
     bool in_use = false;
     bool answered = false;
-    bool unlabelled = false;  // the client gave no label; the one in `sqe` was generated
+    bool has_generated_idempotency_key = false;  // as the client gave none
     nvme::ConnectionId connection = 0;
     nvme::Sqe sqe;
     nvme::SharedBytes write_data;
@@ -130,7 +130,7 @@
   void evict_removed_nodes();
   void connect_ready_nodes();
   void answer(PendingTransaction& pending, nvme::Status status, std::uint64_t result = 0,
-              nvme::View data = {});
+              nvme::ByteView data = {});
   void check_drained();
   void log_counts();
 
@@ -162,7 +162,7 @@
   Counts counts_;
   Counts reported_counts_;
   std::function<void()> drain_done_;
-  std::uint64_t last_generated_label_ = 0;
+  std::uint64_t last_generated_idempotency_key_ = 0;
 };
 
 }  // namespace heronworks::gateway
--- a/tests/gateway/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -22,7 +22,7 @@
   ScriptedNode(Loop& loop, const Address& at = {"127.0.0.1", 0}) : loop_(loop) { listen(at); }
   void listen(const Address& at) {
     nvme::TargetOptions o;
-    o.subsystem = "nqn.2026-11.org.heronworks:node";
+    o.subnqn = "nqn.2026-11.org.heronworks:node";
     o.mdts = 8;
     Fd fd = listen_on(at);
     if (!fd) throw std::runtime_error("cannot listen on " + at.to_string());
@@ -35,12 +35,12 @@
     target->complete(c.connection, c.sqe.cid, status, result, data);
   }
   nvme::Status identify(std::uint8_t, std::uint8_t, std::uint32_t, nvme::Bytes&) override { return {}; }
-  void command(nvme::Command&& c) override {
+  void execute_command(nvme::Command&& c) override {
     commands.push_back(std::move(c));
     if (auto_response) respond(commands.size() - 1, *auto_response);
   }
-  void log_page(nvme::ConnectionId, std::uint16_t, std::uint8_t, std::uint64_t, std::uint32_t) override {}
-  void closed(nvme::ConnectionId) override {}
+  void get_log_page(nvme::ConnectionId, std::uint16_t, std::uint8_t, std::uint64_t, std::uint32_t) override {}
+  void connection_closed(nvme::ConnectionId) override {}
 
   std::vector<nvme::Command> commands;
   std::optional<nvme::Status> auto_response = nvme::status::kOk;
@@ -55,25 +55,26 @@
  public:
   explicit ScriptedEndpointList(Loop& loop) {
     nvme::TargetOptions o;
-    o.subsystem = nvme::kDiscoveryName;
+    o.subnqn = nvme::kDiscoveryNqn;
     target = std::make_unique<nvme::Target>(loop, listen_on({"127.0.0.1", 0}), o, *this);
   }
   void update(std::vector<gateway::ListedEndpoint> to) {
     endpoints = std::move(to);
-    target->notify(nvme::kDiscoveryChanged);
+    target->send_async_event(nvme::kEventDiscoveryLogChanged);
   }
   nvme::Status identify(std::uint8_t, std::uint8_t, std::uint32_t, nvme::Bytes&) override { return {}; }
-  void command(nvme::Command&&) override {}
-  void log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t, std::uint64_t offset,
-                std::uint32_t length) override {
+  void execute_command(nvme::Command&&) override {}
+  void get_log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t, std::uint64_t offset,
+                    std::uint32_t length) override {
     if (offset > 0 && before_next_part) std::exchange(before_next_part, nullptr)();
     auto bytes = gateway::encode_endpoint_list(endpoints, 1, "x");
     if (offset > bytes.size()) bytes.resize(offset + length);
-    const auto part = nvme::View(bytes).subspan(offset, std::min<std::size_t>(length, bytes.size() - offset));
+    const auto part =
+        nvme::ByteView(bytes).subspan(offset, std::min<std::size_t>(length, bytes.size() - offset));
     target->complete(connection, cid, nvme::status::kOk, 0, part);
     ++requests;
   }
-  void closed(nvme::ConnectionId) override {}
+  void connection_closed(nvme::ConnectionId) override {}
 
   std::function<void()> before_next_part;  // called once, before a part other than the first is sent
   std::vector<gateway::ListedEndpoint> endpoints;
@@ -82,24 +83,24 @@
 };
 
 // A client of volume 1. `time_left` 0: none is sent, and the profile's deadline applies.
-class TestClient final : public nvme::HostOwner {
+class TestClient final : public nvme::HostHandler {
  public:
   TestClient(Loop& loop, const Address& address, std::uint16_t depth = 128, nvme::Digests digests = {}) {
     nvme::HostOptions o;
     o.address = address;
-    o.subsystem = "nqn.2026-11.org.heronworks:gateway";
-    o.depth = depth;
-    o.keep_alive = 0;
+    o.subnqn = "nqn.2026-11.org.heronworks:gateway";
+    o.io_queue_size = depth;
+    o.keep_alive_timeout = 0;
     o.digests = digests;
     o.connect_timeout = 5;
     host = std::make_unique<nvme::Host>(loop, o, *this);
   }
-  void ready() override {}
-  void completed(std::uint64_t token, nvme::Completion&& c) override {
+  void on_ready() override {}
+  void on_completed(std::uint64_t token, nvme::Completion&& c) override {
     if (completions.contains(token)) completed_twice = true;
     completions[token] = std::move(c);
   }
-  void down(const std::string& r) override { down_reason = r; }
+  void on_disconnected(const std::string& r) override { down_reason = r; }
 
   void read(std::uint64_t token, std::uint64_t lba, std::uint32_t blocks = 1, double time_left = 0) {
     nvme::Sqe c;
@@ -116,13 +117,13 @@
     c.opcode = nvme::opcode::kZoneAppend;
     send(token, c, 0, blocks, time_left);
   }
-  // The label is the token + 1000.
+  // The idempotency key is the token + 1000.
   void send(std::uint64_t token, nvme::Sqe c, std::uint64_t lba, std::uint32_t blocks, double time_left) {
     const bool reads = c.opcode == nvme::opcode::kRead;
     c.nsid = 1;
     c.set_slba(lba);
     c.set_blocks(blocks);
-    c.set_label(token + 1000);
+    c.set_idempotency_key(token + 1000);
     c.set_time_left(time_left);
     auto data = reads ? nullptr : std::make_shared<const nvme::Bytes>(blocks * 4096, std::uint8_t(token));
     host->submit(token, c, data, reads ? blocks * 4096 : 0);
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -29,7 +29,7 @@
                         : fixture.nodes[1]->commands.at(1);
     CHECK(w.sqe.slba() == 64);
     CHECK(w.data == nvme::Bytes(16 * 4096, 2));
-    CHECK(w.sqe.label() == 1002);
+    CHECK(w.sqe.idempotency_key() == 1002);
     CHECK(w.sqe.time_left() > 0.1);
   }
 }
@@ -83,29 +83,29 @@
   std::set<std::uint64_t> appends;
   for (auto& n : fixture.nodes) {
     for (const auto& k : n->commands) {
-      ++first[k.sqe.label()];
-      if (k.sqe.opcode == nvme::opcode::kZoneAppend) appends.insert(k.sqe.label());
+      ++first[k.sqe.idempotency_key()];
+      if (k.sqe.opcode == nvme::opcode::kZoneAppend) appends.insert(k.sqe.idempotency_key());
     }
     n->commands.clear();
     n->auto_response = st::kOk;
-    n->target->reset_all();
+    n->target->reset_all_connections();
   }
   REQUIRE(fixture.run_until([&] { return c.completions.size() == 30; }));
   CHECK_FALSE(c.completed_twice);
   std::map<std::uint64_t, int> again;
   for (auto& n : fixture.nodes) {
-    for (const auto& k : n->commands) ++again[k.sqe.label()];
+    for (const auto& k : n->commands) ++again[k.sqe.idempotency_key()];
   }
   for (const auto& [label, n] : first) {
     if (appends.contains(label)) {
       CHECK(again[label] == 0);
-      CHECK(c.status(label - 1000) == st::kInternalPath);
+      CHECK(c.status(label - 1000) == st::kInternalPathError);
     } else {
       CHECK(c.status(label - 1000) == st::kOk);
       CHECK(again[label] == 1);
     }
   }
-  CHECK(c.count(st::kOk) + c.count(st::kInternalPath) + c.count(st::kCommandInterrupted) == 30);
+  CHECK(c.count(st::kOk) + c.count(st::kInternalPathError) + c.count(st::kCommandInterrupted) == 30);
 }
 
 TEST_CASE("a write is not retried after its deduplication window") {
@@ -119,9 +119,9 @@
   REQUIRE(fixture.run_until([&] { return fixture.nodes[0]->commands.size() == 1; }));
   fixture.run_for(0.1);
   fixture.nodes[0]->auto_response = st::kOk;
-  fixture.nodes[0]->target->reset_all();
+  fixture.nodes[0]->target->reset_all_connections();
   REQUIRE(fixture.run_until([&] { return c.completions.size() == 1; }));
-  CHECK(c.status(1) == st::kInternalPath);
+  CHECK(c.status(1) == st::kInternalPathError);
   CHECK(fixture.nodes[0]->commands.size() == 1);
 }
 
@@ -144,12 +144,12 @@
     fixture.run_for(0.8);
     fixture.nodes[0]->auto_response = st::kOk;
     nvme::TargetOptions o;
-    o.subsystem = "nqn.2026-11.org.heronworks:node";
+    o.subnqn = "nqn.2026-11.org.heronworks:node";
     fixture.nodes[0]->target =
         std::make_unique<nvme::Target>(fixture.loop, Fd(::dup(silent_listener.get())), o, *fixture.nodes[0]);
   }
   REQUIRE(fixture.run_until([&] { return c.completions.size() == 1; }));
-  CHECK(c.status(1) == st::kInternalPath);
+  CHECK(c.status(1) == st::kInternalPathError);
   CHECK(fixture.nodes[0]->commands.size() == 1);
 }
 
@@ -163,11 +163,11 @@
       [&] { return fixture.nodes[0]->commands.size() + fixture.nodes[1]->commands.size() >= 2; }));
   REQUIRE(fixture.run_until([&] { return c.completions.size() == 1; }));
   CHECK(c.status(1) == st::kCommandInterrupted);  // not executed, so the client may retry
-  fixture.nodes[0]->auto_response = fixture.nodes[1]->auto_response = st::kInternal;
+  fixture.nodes[0]->auto_response = fixture.nodes[1]->auto_response = st::kInternalError;
   const auto before = fixture.nodes[0]->commands.size() + fixture.nodes[1]->commands.size();
   c.append(2);
   REQUIRE(fixture.run_until([&] { return c.completions.size() == 2; }));
-  CHECK(c.status(2) == st::kInternalPath);
+  CHECK(c.status(2) == st::kInternalPathError);
   CHECK(fixture.nodes[0]->commands.size() + fixture.nodes[1]->commands.size() == before + 1);
 }
 
@@ -285,7 +285,7 @@
   REQUIRE(fixture.run_until([&] { return c.completions.size() == 2; }));
   CHECK_FALSE(c.status(1).ok());
   CHECK(fixture.nodes[0]->commands.size() <= 1);
-  for (const auto& k : fixture.nodes[0]->commands) CHECK(k.sqe.label() == 1002);
+  for (const auto& k : fixture.nodes[0]->commands) CHECK(k.sqe.idempotency_key() == 1002);
 }
 
 TEST_CASE("drain rejects new commands and answers those already accepted") {
@@ -371,8 +371,8 @@
   const auto page = gateway::encode_endpoint_list(fixture.all_ready(), 3, "s");
   std::string reason;
   CHECK(gateway::decode_endpoint_list(page, reason)->size() == 2);
-  CHECK_FALSE(gateway::decode_endpoint_list(nvme::View(page).first(1000), reason));
-  CHECK_FALSE(gateway::decode_endpoint_list(nvme::View(page).first(2048), reason));
+  CHECK_FALSE(gateway::decode_endpoint_list(nvme::ByteView(page).first(1000), reason));
+  CHECK_FALSE(gateway::decode_endpoint_list(nvme::ByteView(page).first(2048), reason));
   CHECK(reason == "2 records do not fit in 2048 bytes, or are more than 65536");
   auto broken = page;
   broken[1024 + 992] = 'X';
--- a/tests/gateway/matcher_test.cpp
+++ b/tests/gateway/matcher_test.cpp
@@ -55,7 +55,7 @@
     q.nsid = volume;
     q.set_slba(lba);
     q.set_blocks(blocks);
-    q.set_origin(attempt, 0, 0);
+    q.set_dispatch_info(attempt, 0, 0);
     nvme::Status error;
     const auto result = matcher->match(q, {"nqn.test", *expr::parse_address("10.0.0.1")}, 1, 1e9, error);
     REQUIRE(result);
@@ -101,7 +101,7 @@
                        changing + ")\"\n");
     CHECK_FALSE(key.matcher);
     REQUIRE(key.problems.size() == 1);
-    CHECK(key.problems[0].text.find("must be the same for every try") != std::string::npos);
+    CHECK(key.problems[0].text.find("must be the same for every retry") != std::string::npos);
   }
   MatcherFixture when("[[rule]]\nwhen = \"try == 0\"\nprofile = \"ordered\"\nkey = \"hash(lba)\"\n");
   CHECK_FALSE(when.matcher);
--- a/tests/gateway/orderings_test.cpp
+++ b/tests/gateway/orderings_test.cpp
@@ -65,7 +65,7 @@
         for (auto& n : nodes) respond(*n, st::kCommandInterrupted);
         break;
       case kConnectionsReset:
-        for (auto& n : nodes) n->target->reset_all();
+        for (auto& n : nodes) n->target->reset_all_connections();
         break;
       case kClientDisconnects:
         client_b_->host->close("disconnect");
@@ -107,7 +107,7 @@
     CHECK(c.refused + c.rejected_at_admission == 0);
     std::map<std::uint64_t, std::vector<std::uint8_t>> reached;
     for (auto& n : nodes) {
-      for (const auto& k : n->commands) reached[k.sqe.label()].push_back(k.sqe.opcode);
+      for (const auto& k : n->commands) reached[k.sqe.idempotency_key()].push_back(k.sqe.opcode);
     }
     CHECK(c.dispatched >= received());
     // The append is retried only after a node rejected it without execution.
