--- a/src/gateway/scheduler.cpp
+++ b/src/gateway/scheduler.cpp
@@ -83,7 +83,7 @@
   }
   target_ = std::make_unique<nvme::Target>(loop, std::move(listener), target_options(config), *this);
   report_timer_ = loop_.run_at(loop_.now() + kReportInterval, [this] { log_counts(); });
-  watchdog_ = std::make_unique<Beat>(loop_, log_);
+  watchdog_ = std::make_unique<Watchdog>(loop_, log_);
 }
 
 Scheduler::~Scheduler() {
@@ -228,7 +228,7 @@
           : config_.settings.profiles[static_cast<std::size_t>(transaction.profile)].deadline;
   transaction.time_left = time_left - std::max(now() - command.arrived_at, 0.0) - config_.response_margin;
 
-  const int id = transactions_.take();
+  const int id = transactions_.allocate();
   PendingTransaction& pending = transactions_[id];
   pending.in_use = true;
   pending.connection = command.connection;
@@ -330,7 +330,7 @@
   PendingTransaction& pending = transactions_[transaction];
   admission_.release(pending.tenant,
                      pending.write_data ? static_cast<double>(pending.write_data->size()) : 0);
-  transactions_.give(transaction);
+  transactions_.release(transaction);
 }
 
 void Scheduler::request_endpoint_list() { endpoint_list_->refresh(); }
@@ -447,8 +447,8 @@
 std::vector<NodeEntry> Scheduler::apply_endpoint_list(const std::vector<ListedEndpoint>& endpoints) {
   std::vector<NodeEntry> entries;
   for (const ListedEndpoint& listed : endpoints) {
-    NodeEntry entry = node_indices_.begin(listed.address.to_string());
-    if (nodes_.size() < static_cast<std::size_t>(node_indices_.most())) nodes_.emplace_back();
+    NodeEntry entry = node_indices_.find_or_add(listed.address.to_string());
+    if (nodes_.size() < static_cast<std::size_t>(node_indices_.index_limit())) nodes_.emplace_back();
     NodeEndpoint& endpoint = nodes_[static_cast<std::size_t>(entry.node)];
     if (entry.index_reused) {
       NodeConnection::Options options;
@@ -471,10 +471,10 @@
                            : std::max(1e-9 * static_cast<double>(listed.started_at) - wall_offset_, 1e-6);
     if (!entry.index_reused && entry.started_at > previous_start)
       endpoint.connection->reset("node process restarted");
-    node_indices_.listed(loop_.now(), entry);
+    node_indices_.update(loop_.now(), entry);
     entries.push_back(entry);
   }
-  node_indices_.only(loop_.now(), entries);
+  node_indices_.remove_absent(loop_.now(), entries);
   return entries;
 }
 
@@ -483,13 +483,13 @@
   const auto busy = [&](int node) {
     return nodes_[static_cast<std::size_t>(node)].connection->pending() > 0;
   };
-  for (const int node : node_indices_.let_go(loop_.now(), config_.idle_timeout, busy)) {
+  for (const int node : node_indices_.evict(loop_.now(), config_.idle_timeout, busy)) {
     nodes_[static_cast<std::size_t>(node)].connection.reset();
   }
 }
 
 void Scheduler::connect_ready_nodes() {
-  for (int i = 0; i < node_indices_.most(); ++i) {
+  for (int i = 0; i < node_indices_.index_limit(); ++i) {
     if (node_indices_.entry(i).state == NodeState::kReady)
       nodes_[static_cast<std::size_t>(i)].connection->open();
   }
@@ -499,7 +499,7 @@
   const auto entries = apply_endpoint_list(endpoints);
   log_.info(loop_.now(), "list.came", {{"nodes", entries.size()}});
   control_->update_nodes(now(), UpdateKind::kSnapshot, entries);
-  for (int i = 0; i < node_indices_.most(); ++i) {
+  for (int i = 0; i < node_indices_.index_limit(); ++i) {
     NodeEndpoint& endpoint = nodes_[static_cast<std::size_t>(i)];
     if (endpoint.connection && node_indices_.entry(i).state != NodeState::kReady)
       endpoint.connection->drain();
--- a/src/gateway/scheduler.h
+++ b/src/gateway/scheduler.h
@@ -11,9 +11,9 @@
 #include "gateway/endpoint_list_watch.h"
 #include "gateway/matcher.h"
 #include "gateway/node_connection.h"
-#include "host/beat.h"
-#include "host/node_numbers.h"
-#include "host/slots.h"
+#include "host/node_index_table.h"
+#include "host/slot_table.h"
+#include "host/watchdog.h"
 #include "ledger/keeper.h"
 #include "log/log.h"
 #include "nvme/target.h"
@@ -56,7 +56,7 @@
   std::string rejection_reasons() const;
   std::size_t unsent_bytes() const { return target_->unsent_bytes(); }  // of responses to clients
   bool admission_empty() const { return admission_.empty(); }
-  std::size_t open() const { return transactions_.open(); }
+  std::size_t open() const { return transactions_.in_use(); }
 
   // Rejects new commands, completes the open transactions, then calls `done`.
   void drain(std::function<void()> done);
@@ -142,7 +142,7 @@
   std::unique_ptr<nvme::Target> target_;
   std::unique_ptr<EndpointListWatch> endpoint_list_;
   std::unique_ptr<Control> control_;
-  Slots<PendingTransaction> transactions_;  // by transaction index
+  SlotTable<PendingTransaction> transactions_;  // by transaction index
   // Unanswered transactions by connection; a connection is erased with its last one.
   std::unordered_map<nvme::ConnectionId, std::set<int>> unanswered_;
   std::unordered_map<nvme::ConnectionId, ClientInfo> clients_;  // of open I/O connections
@@ -155,10 +155,10 @@
   Loop::TimerId drain_timer_ = 0;
   AdmissionControl admission_;
   std::vector<NodeEndpoint> nodes_;  // by node index; the connection is null once the node is evicted
-  NodeNumbers node_indices_;         // by address
+  NodeIndexTable node_indices_;      // by address
   Loop::TimerId control_timer_ = 0;
   Loop::TimerId report_timer_ = 0;
-  std::unique_ptr<Beat> watchdog_;
+  std::unique_ptr<Watchdog> watchdog_;
   Counts counts_;
   Counts reported_counts_;
   std::function<void()> drain_done_;
