--- a/bench/wire.cpp
+++ b/bench/wire.cpp
@@ -39,12 +39,12 @@
   }
   void get_log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t, std::uint64_t offset,
                     std::uint32_t length) override {
-    const auto page = gateway::encode_list(listed_nodes, 1, "x");
+    const auto page = gateway::encode_endpoint_list(listed_nodes, 1, "x");
     const auto returned = std::min<std::size_t>(length, page.size() - offset);
     target->complete(connection, cid, {}, 0, nvme::ByteView(page).subspan(offset, returned));
   }
   void connection_closed(nvme::ConnectionId) override {}
-  std::vector<gateway::ListedNode> listed_nodes;
+  std::vector<gateway::ListedEndpoint> listed_nodes;
   std::unique_ptr<nvme::Target> target;
 
  private:
@@ -137,8 +137,8 @@
                       << more;
   return start_server([&](auto report_address) {
     config::Problems problems;
-    const auto gateway_config = config::read_gateway(path, problems);
-    for (const auto& problem : problems) std::fprintf(stderr, "%s\n", problem.shown().c_str());
+    const auto gateway_config = config::read_gateway_config(path, problems);
+    for (const auto& problem : problems) std::fprintf(stderr, "%s\n", problem.to_string().c_str());
     const MonotonicClock clock;
     Loop loop(clock);
     Log log("", "error", 100);
--- a/src/cli/expr.cpp
+++ b/src/cli/expr.cpp
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "config/rules.h"
+#include "config/expression_rules.h"
 #include "expr/rules.h"
 
 namespace heronworks::cli {
@@ -78,7 +78,7 @@
 int expr_check(const std::string& path) {
   config::Problems problems;
   const auto rules = config::read_rules_file(path, problems);
-  for (const auto& p : problems) std::fprintf(stderr, "%s\n", p.shown().c_str());
+  for (const auto& p : problems) std::fprintf(stderr, "%s\n", p.to_string().c_str());
   if (!rules) return 2;
   std::printf("%zu rules with %zu distinct conditions, %zu of them shared; at most %llu steps\n",
               rules->set.size(), rules->set.condition_count(), rules->set.shared_condition_count(),
--- a/tests/nvme/host_test.cpp
+++ b/tests/nvme/host_test.cpp
@@ -4,8 +4,8 @@
 
 #include <map>
 
-#include "gateway/list_watch.h"
-#include "gateway/node_link.h"
+#include "gateway/endpoint_list_watch.h"
+#include "gateway/node_connection.h"
 
 using namespace heronworks;
 using namespace heronworks::nvme;
@@ -127,12 +127,12 @@
 };
 
 // Records how dispatches ended, each exactly once, and the events of the link.
-struct RecordingLinkOwner final : gateway::NodeLinkOwner {
-  void ended(int, const gateway::Dispatch& dispatch, Outcome outcome, Completion&&) override {
+struct RecordingLinkOwner final : gateway::NodeConnectionOwner {
+  void dispatch_ended(int, const gateway::Dispatch& dispatch, Outcome outcome, Completion&&) override {
     CHECK_FALSE(outcomes.contains(dispatch.transaction));
     outcomes[dispatch.transaction] = outcome;
   }
-  void link_changed(int, const char* event, const std::string& reason) override {
+  void connection_changed(int, const char* event, const std::string& reason) override {
     link_events += std::string(event) + " " + reason + "\n";
   }
   std::map<int, Outcome> outcomes;  // by transaction
@@ -141,11 +141,11 @@
 
 struct NodeLinkFixture {
   NodeLinkFixture() : loop(clock), controller(loop) {
-    gateway::NodeLink::Options options;
+    gateway::NodeConnection::Options options;
     options.host.address = controller.address;
     options.host.io_queue_size = 8;
     options.host.connect_timeout = 10;
-    link = std::make_unique<gateway::NodeLink>(loop, 0, options, recorder);
+    link = std::make_unique<gateway::NodeConnection>(loop, 0, options, recorder);
     link->open();
     REQUIRE(wait_until([&] { return controller.io() != nullptr; }));
   }
@@ -164,11 +164,11 @@
     gateway::Dispatch dispatch;
     dispatch.transaction = transaction;
     dispatch.sent_at = clock.now();
-    dispatch.until = clock.now() + timeout;
+    dispatch.deadline = clock.now() + timeout;
     dispatch.sqe.opcode = write ? opcode::kWrite : opcode::kRead;
     dispatch.sqe.set_blocks(blocks);
-    if (write) dispatch.out = std::make_shared<const Bytes>(blocks * kBlockSize);
-    else dispatch.in = blocks * kBlockSize;
+    if (write) dispatch.write_data = std::make_shared<const Bytes>(blocks * kBlockSize);
+    else dispatch.read_bytes = blocks * kBlockSize;
     REQUIRE(controller.io());
     const auto count = controller.io()->io_commands.size();
     link->send(std::move(dispatch));
@@ -182,7 +182,7 @@
   Loop loop;
   ScriptedController controller;
   RecordingLinkOwner recorder;
-  std::unique_ptr<gateway::NodeLink> link;
+  std::unique_ptr<gateway::NodeConnection> link;
 };
 
 }  // namespace
@@ -206,7 +206,7 @@
     CHECK(fixture.recorder.outcomes[i + 1] == Outcome::kSucceeded);
   }
   CHECK(fixture.recorder.link_events.find("lost") == std::string::npos);
-  CHECK(fixture.link->out() == 0);
+  CHECK(fixture.link->pending() == 0);
 }
 
 TEST_CASE("duplicate completions of earlier commands are ignored, up to a limit per connection") {
@@ -234,7 +234,7 @@
   fixture.controller.io()->send_completion(0xfff0);
   REQUIRE(fixture.wait_ended(1));
   CHECK(fixture.recorder.outcomes[1] == Outcome::kReset);
-  CHECK(fixture.link->out() == 0);
+  CHECK(fixture.link->pending() == 0);
 }
 
 TEST_CASE("a successful completion of a read or write with part of its data missing is an error") {
@@ -294,9 +294,9 @@
   // The next dispatch uses a new connection, even if it is sent before that is established.
   gateway::Dispatch dispatch;
   dispatch.transaction = 3;
-  dispatch.until = fixture.clock.now() + 10;
+  dispatch.deadline = fixture.clock.now() + 10;
   dispatch.sqe.opcode = opcode::kRead;
-  dispatch.in = kBlockSize;
+  dispatch.read_bytes = kBlockSize;
   fixture.link->send(std::move(dispatch));
   REQUIRE(fixture.wait_until(
       [&] { return fixture.controller.io() && fixture.controller.io()->io_commands.size() == 1; }));
@@ -304,8 +304,8 @@
   fixture.controller.io()->send_completion(fixture.controller.io()->io_commands[0].cid);
   REQUIRE(fixture.wait_ended(3));
   CHECK(fixture.recorder.outcomes[3] == Outcome::kSucceeded);
-  CHECK(fixture.link->out() == 0);
-  CHECK(fixture.link->waiting() == 0);
+  CHECK(fixture.link->pending() == 0);
+  CHECK(fixture.link->queued() == 0);
 }
 
 TEST_CASE(
@@ -317,11 +317,11 @@
   Loop loop(clock);
   ScriptedController controller(loop);
   RecordingLinkOwner recorder;
-  gateway::NodeLink::Options options;
+  gateway::NodeConnection::Options options;
   options.host.address = controller.address;
   options.host.io_queue_size = 8;
   options.host.keep_alive_timeout = 0;
-  gateway::NodeLink link(loop, 0, options, recorder);
+  gateway::NodeConnection link(loop, 0, options, recorder);
   const auto run_pending = [&] {
     for (int i = 0; i < 4; ++i) loop.run_once(0);
   };
@@ -342,10 +342,10 @@
       const auto send = [&](int transaction, bool write) {
         gateway::Dispatch dispatch;
         dispatch.transaction = transaction;
-        dispatch.until = clock.now() + kDispatchTimeout;
+        dispatch.deadline = clock.now() + kDispatchTimeout;
         dispatch.sqe.opcode = write ? opcode::kWrite : opcode::kRead;
-        if (write) dispatch.out = std::make_shared<const Bytes>(2 * kBlockSize);
-        else dispatch.in = kBlockSize;
+        if (write) dispatch.write_data = std::make_shared<const Bytes>(2 * kBlockSize);
+        else dispatch.read_bytes = kBlockSize;
         link.send(std::move(dispatch));
       };
       send(kRead, false);
@@ -410,11 +410,11 @@
           std::find(order.begin(), order.end(), kR2t) <
               std::find(order.begin(), order.end(), kWriteCompletion);
       CHECK(connection.h2c_data_received == (data_due ? 2 * kBlockSize : 0));
-      CHECK(link.out() == 0);
-      CHECK(link.waiting() == 0);
+      CHECK(link.pending() == 0);
+      CHECK(link.queued() == 0);
       for (const auto& [transaction, outcome] : recorder.outcomes) ++outcome_counts[outcome];
       ++orderings;
-      link.restart("next ordering");
+      link.reset("next ordering");
       run_pending();
       std::erase_if(controller.connections, [](auto& c) { return c->connection_lost; });
     } while (std::next_permutation(order.begin(), order.end()));
@@ -432,7 +432,7 @@
   const MonotonicClock clock;
   Loop loop(clock);
   ScriptedController discovery(loop);
-  std::vector<gateway::ListedNode> nodes{{{"127.0.0.1", 9}, 0, 0, NodeState::kReady, 0}};
+  std::vector<gateway::ListedEndpoint> nodes{{{"127.0.0.1", 9}, 0, 0, NodeState::kReady, 0}};
   bool refuse_event_requests = true;
   discovery.handle_admin = [&](ScriptedController::Connection& connection, const Sqe& sqe) {
     if (sqe.opcode == opcode::kAsyncEventRequest) {
@@ -440,7 +440,7 @@
       return true;
     }
     if (sqe.opcode != opcode::kGetLogPage) return false;
-    const Bytes page = gateway::encode_list(nodes, 1, "x");
+    const Bytes page = gateway::encode_endpoint_list(nodes, 1, "x");
     DataPdu c2h_data;
     c2h_data.header.flags = kFlagLastPdu;
     c2h_data.cid = sqe.cid;
@@ -449,9 +449,9 @@
     connection.send_completion(sqe.cid);
     return true;
   };
-  struct RecordingListOwner final : gateway::ListOwner {
-    void list_came(std::vector<gateway::ListedNode>) override { ++lists_received; }
-    void list_failed(const std::string& failure) override {
+  struct RecordingListOwner final : gateway::EndpointListOwner {
+    void endpoint_list_received(std::vector<gateway::ListedEndpoint>) override { ++lists_received; }
+    void endpoint_list_failed(const std::string& failure) override {
       ++failures;
       last_failure = failure;
     }
@@ -463,19 +463,19 @@
   options.address = discovery.address;
   options.io_queue_size = 0;
   options.keep_alive_timeout = 0;
-  gateway::ListWatch watch(loop, options, recorder);
+  gateway::EndpointListWatch watch(loop, options, recorder);
   const auto wait_until = [&](const std::function<bool()>& done) {
     const double end = clock.now() + kWaitTimeout;
     while (!done() && clock.now() < end) loop.run_once(0.01);
     return done();
   };
-  watch.watch();
+  watch.refresh();
   REQUIRE(wait_until([&] { return recorder.failures == 1; }));
   refuse_event_requests = false;
-  watch.watch();
+  watch.refresh();
   REQUIRE(wait_until([&] { return recorder.lists_received > 0; }));
   nodes[0].shard = 2000000000;
-  watch.watch();
+  watch.refresh();
   REQUIRE(wait_until([&] { return recorder.failures == 2; }));
-  CHECK(recorder.last_failure == "not a list: record 0: no such shard");
+  CHECK(recorder.last_failure == "invalid endpoint list: record 0: shard 2000000000 is not below 65536");
 }
