--- a/src/gateway/scheduler.cpp
+++ b/src/gateway/scheduler.cpp
@@ -17,11 +17,11 @@
 
 nvme::TargetOptions target_options(const config::GatewayConfig& c) {
   nvme::TargetOptions o;
-  o.subsystem = c.subsystem;
-  o.queue_size = static_cast<std::uint16_t>(c.queue_size);
-  o.most_connections = static_cast<std::size_t>(c.most_connections);
+  o.subnqn = c.subsystem;
+  o.max_queue_size = static_cast<std::uint16_t>(c.queue_size);
+  o.max_connections = static_cast<std::size_t>(c.most_connections);
   o.retry_delay = c.settings.max_retry_after / 16;
-  o.arrival = nvme::Arrival::kEarliest;
+  o.arrival_source = nvme::ArrivalSource::kEarliestPossible;
   // The largest transaction must fit: 4096 << mdts bytes.
   const double largest = c.settings.max_transaction_units * c.unit_blocks * c.block_bytes;
   o.mdts = static_cast<std::uint8_t>(std::clamp(std::ceil(std::log2(largest / 4096)), 0.0, 12.0));
@@ -45,10 +45,10 @@
                (static_cast<std::uint64_t>((loop.now() + wall_offset_) * 1000) & 0x3fffffff) << 16;
   nvme::HostOptions list;
   list.address = config.list;
-  list.subsystem = config.list_subsystem;
-  list.host_name = config.host_name;
-  list.depth = 0;
-  list.keep_alive = config.keep_alive;
+  list.subnqn = config.list_subsystem;
+  list.hostnqn = config.host_name;
+  list.io_queue_size = 0;
+  list.keep_alive_timeout = config.keep_alive;
   list.digests = {config.digests, config.digests};
   list_ = std::make_unique<ListWatch>(loop, list, *this);
   control_ = std::make_unique<Control>(config.settings, *this, now());
@@ -79,7 +79,7 @@
   }
   target_ = std::make_unique<nvme::Target>(loop, std::move(listener), target_options(config), *this);
   report_ = loop_.run_at(loop_.now() + kReportEvery, [this] { report(); });
-  beat_ = std::make_unique<Beat>(loop_, log_);
+  beat_ = std::make_unique<Watchdog>(loop_, log_);
 }
 
 Scheduler::~Scheduler() {
@@ -99,7 +99,7 @@
 // All answered, and their bytes with the system.
 void Scheduler::check_drained() {
   if (!drained_) return;
-  bool waiting = target_->unsent() > 0 || !waiting_.empty();
+  bool waiting = target_->unsent_bytes() > 0 || !waiting_.empty();
   for (const Slot& s : slots_) waiting = waiting || (s.used && !s.answered);
   if (waiting) {
     draining_ = loop_.run_at(loop_.now() + 0.01, [this] { check_drained(); });
@@ -154,8 +154,8 @@
   return out;
 }
 
-void Scheduler::log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page,
-                         std::uint64_t offset, std::uint32_t length) {
+void Scheduler::get_log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page,
+                             std::uint64_t offset, std::uint32_t length) {
   if (page != kReasonsPage) {
     target_->complete(connection, cid, nvme::status::kInvalidLogPage);
     return;
@@ -167,7 +167,7 @@
   target_->complete(connection, cid, nvme::status::kOk, 0, bytes);
 }
 
-void Scheduler::command(nvme::Command&& c) {
+void Scheduler::execute_command(nvme::Command&& c) {
   const auto end = [&](nvme::Status status, std::uint64_t& count, std::uint64_t result = 0) {
     ++count;
     target_->complete(c.connection, c.sqe.cid, status, result);
@@ -200,7 +200,7 @@
   if (matched->rule >= 0) {
     const expr::Rule& rule = matcher_.rules().rule(matched->rule);
     if (!rule.labels.empty() || matched->turn_back) {
-      nlohmann::json fields{{"rule", rule.name}, {"volume", c.sqe.nsid}, {"label", c.sqe.label()}};
+      nlohmann::json fields{{"rule", rule.name}, {"volume", c.sqe.nsid}, {"label", c.sqe.idempotency_key()}};
       for (const auto& [name, value] : rule.labels) fields["labels"][name] = value;
       if (matched->turn_back) fields["reason"] = rule.reject_reason;
       log_.debug(loop_.now(), matched->turn_back ? "rule.turned_back" : "rule.marked", std::move(fields));
@@ -214,9 +214,9 @@
   const double told = c.sqe.time_left();
   const double whole =
       told > 0 ? told : config_.settings.profiles[static_cast<std::size_t>(t.profile)].deadline;
-  t.time_left = whole - std::max(now() - c.at, 0.0) - config_.way_back;
+  t.time_left = whole - std::max(now() - c.arrived_at, 0.0) - config_.way_back;
 
-  const int id = slots_.take();
+  const int id = slots_.allocate();
   Slot& s = slots_[id];
   s.used = true;
   s.connection = c.connection;
@@ -226,8 +226,8 @@
   s.rule = matched->rule;
   s.t = t;
   s.landed_at = now();
-  s.unnamed = s.sqe.label() == 0;
-  if (s.unnamed) s.sqe.set_label(++own_label_);
+  s.unnamed = s.sqe.idempotency_key() == 0;
+  if (s.unnamed) s.sqe.set_idempotency_key(++own_label_);
   if (!reads) s.data = std::make_shared<const nvme::Bytes>(std::move(c.data));
   s.tenant = matched->tenant;
   door_.landed(s.tenant, bytes);
@@ -236,15 +236,15 @@
   control_->transaction_arrived(now(), id, t);
 }
 
-void Scheduler::admitted(nvme::ConnectionId connection, const std::string& host, bool admin,
-                         const heronworks::Address& peer) {
+void Scheduler::connection_established(nvme::ConnectionId connection, const std::string& host, bool admin,
+                                       const heronworks::Address& peer) {
   if (admin) return;
   ClientFacts& f = facts_[connection];
   f.name = host;
   f.address = expr::parse_address(peer.host).value_or(expr::Address{});
 }
 
-void Scheduler::closed(nvme::ConnectionId connection) {
+void Scheduler::connection_closed(nvme::ConnectionId connection) {
   facts_.erase(connection);
   const auto found = by_client_.find(connection);
   if (found == by_client_.end()) return;
@@ -259,7 +259,7 @@
   }
 }
 
-void Scheduler::answer(Slot& s, nvme::Status status, std::uint64_t result, nvme::View data) {
+void Scheduler::answer(Slot& s, nvme::Status status, std::uint64_t result, nvme::ByteView data) {
   if (s.answered) return;
   target_->complete(s.connection, s.sqe.cid, status, result, data);
   mark_answered(s);
@@ -287,7 +287,7 @@
   const auto& profile = config_.settings.profiles[static_cast<std::size_t>(s.profile)];
   d.until = now() + (timeout > 0 ? timeout : profile.deadline);
   d.sqe = s.sqe;
-  d.sqe.set_origin(s.sqe.client_try(), d.number, config_.settings.scheduler_index);
+  d.sqe.set_dispatch_info(s.sqe.client_attempt(), d.number, config_.settings.scheduler_index);
   if (s.shard < 0) {  // a new object: the first zone of the node's shard; the node finds room from there on
     d.sqe.set_slba(static_cast<std::uint64_t>(numbers_.entry(node).shard) * config_.zone_blocks);
   }
@@ -308,13 +308,13 @@
 
 void Scheduler::expire(int transaction) {
   ++counts_.given_up;
-  answer(slots_[transaction], nvme::status::kInternalPath);
+  answer(slots_[transaction], nvme::status::kInternalPathError);
 }
 
 void Scheduler::release(int transaction) {
   Slot& s = slots_[transaction];
   door_.left(s.tenant, s.data ? static_cast<double>(s.data->size()) : 0);
-  slots_.give(transaction);
+  slots_.release(transaction);
 }
 
 void Scheduler::request_endpoint_list() { list_->watch(); }
@@ -355,7 +355,7 @@
   const Plan& plan = config_.settings.plans[static_cast<std::size_t>(s.t.plan)];
   const double hosts = std::max(s.t.volume_schedulers, 1);
   ledger::UsageEntry use;
-  use.identity = s.sqe.label();
+  use.identity = s.sqe.idempotency_key();
   use.unnamed = s.unnamed;
   use.tenant = matcher_.tenant_of(s.sqe.nsid);
   use.volume = s.sqe.nsid;
@@ -366,7 +366,7 @@
   use.tier =
       standings_.classify(now(), s.t.volume, plan.reservation / hosts, plan.usual_rate / hosts, s.t.units);
   if (facts != facts_.end()) use.client = facts->second.name;
-  use.attempt = static_cast<std::uint32_t>(s.sqe.client_try());
+  use.attempt = static_cast<std::uint32_t>(s.sqe.client_attempt());
   if (s.rule >= 0) use.labels = &matcher_.rules().rule(s.rule).labels;
   const std::uint64_t ticket = keeper_->record_usage(use);
   if (!config_.ledger.waits) return answer(s, nvme::status::kOk, result, data);
@@ -425,18 +425,18 @@
 std::vector<NodeEntry> Scheduler::take_list(const std::vector<ListedNode>& nodes) {
   std::vector<NodeEntry> entries;
   for (const ListedNode& l : nodes) {
-    NodeEntry e = numbers_.begin(l.address.to_string());
-    if (nodes_.size() < static_cast<std::size_t>(numbers_.most())) nodes_.emplace_back();
+    NodeEntry e = numbers_.find_or_add(l.address.to_string());
+    if (nodes_.size() < static_cast<std::size_t>(numbers_.index_limit())) nodes_.emplace_back();
     NodeSlot& n = nodes_[static_cast<std::size_t>(e.node)];
     if (e.index_reused) {
       NodeLink::Options o;
       o.host.address = l.address;
-      o.host.subsystem = config_.node_subsystem;
-      o.host.host_name = config_.host_name;
-      o.host.depth = static_cast<std::uint16_t>(config_.node_depth);
+      o.host.subnqn = config_.node_subsystem;
+      o.host.hostnqn = config_.host_name;
+      o.host.io_queue_size = static_cast<std::uint16_t>(config_.node_depth);
       o.host.digests = {config_.digests, config_.digests};
       o.host.connect_timeout = config_.connect_timeout;
-      o.host.keep_alive = config_.keep_alive;
+      o.host.keep_alive_timeout = config_.keep_alive;
       o.idle_close = config_.idle_close;
       n = {l.address, std::make_unique<NodeLink>(loop_, e.node, o, *this)};
     }
@@ -446,23 +446,23 @@
     e.state = l.listing;
     e.started_at = l.came_up == 0 ? 0 : std::max(1e-9 * static_cast<double>(l.came_up) - wall_offset_, 1e-6);
     if (!e.index_reused && e.started_at > before) n.link->restart("another process is at this address now");
-    numbers_.listed(loop_.now(), e);
+    numbers_.update(loop_.now(), e);
     entries.push_back(e);
   }
-  numbers_.only(loop_.now(), entries);
+  numbers_.remove_absent(loop_.now(), entries);
   return entries;
 }
 
 // A link goes with its number, once it may no longer be idle and nothing is out at it.
 void Scheduler::let_go_of_gone() {
   const auto busy = [&](int node) { return nodes_[static_cast<std::size_t>(node)].link->out() > 0; };
-  for (const int node : numbers_.let_go(loop_.now(), config_.idle_close, busy)) {
+  for (const int node : numbers_.evict(loop_.now(), config_.idle_close, busy)) {
     nodes_[static_cast<std::size_t>(node)].link.reset();
   }
 }
 
 void Scheduler::connect_to_listed() {
-  for (int i = 0; i < numbers_.most(); ++i) {
+  for (int i = 0; i < numbers_.index_limit(); ++i) {
     if (numbers_.entry(i).state == NodeState::kReady) nodes_[static_cast<std::size_t>(i)].link->open();
   }
 }
@@ -471,7 +471,7 @@
   const auto entries = take_list(nodes);
   log_.info(loop_.now(), "list.came", {{"nodes", entries.size()}});
   control_->update_nodes(now(), UpdateKind::kSnapshot, entries);
-  for (int i = 0; i < numbers_.most(); ++i) {
+  for (int i = 0; i < numbers_.index_limit(); ++i) {
     NodeSlot& n = nodes_[static_cast<std::size_t>(i)];
     if (n.link && numbers_.entry(i).state != NodeState::kReady) n.link->drain();
   }
@@ -502,7 +502,7 @@
              {"at_ledger", since(&Counts::at_ledger)},
              {"ahead", since(&Counts::ahead)},
              {"open", open()},
-             {"clients", target_->connections()}});
+             {"clients", target_->connection_count()}});
   reported_ = counts_;
   report_ = loop_.run_at(loop_.now() + kReportEvery, [this] { report(); });
 }
--- a/src/gateway/scheduler.h
+++ b/src/gateway/scheduler.h
@@ -11,9 +11,9 @@
 #include "gateway/list_watch.h"
 #include "gateway/match.h"
 #include "gateway/node_link.h"
-#include "host/beat.h"
-#include "host/node_numbers.h"
-#include "host/slots.h"
+#include "host/node_index_table.h"
+#include "host/slot_table.h"
+#include "host/watchdog.h"
 #include "ledger/ledger_service.h"
 #include "log/log.h"
 #include "nvme/target.h"
@@ -55,10 +55,10 @@
   // What log page kReasonsPage holds: a rule that turns back a line, "number<TAB>name<TAB>reason".
   std::string reasons() const;
   std::size_t unread() const {
-    return target_->unsent();
+    return target_->unsent_bytes();
   }  // bytes of answers that clients have not taken yet
   bool door_empty() const { return door_.empty(); }
-  std::size_t open() const { return slots_.open(); }
+  std::size_t open() const { return slots_.in_use(); }
 
   // Takes nothing new, ends what it took, then calls `done`.
   void drain(std::function<void()> done);
@@ -73,12 +73,12 @@
 
   // From clients.
   nvme::Status identify(std::uint8_t cns, std::uint8_t csi, std::uint32_t nsid, nvme::Bytes& page) override;
-  void command(nvme::Command&& command) override;
-  void log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page, std::uint64_t offset,
-                std::uint32_t length) override;
-  void admitted(nvme::ConnectionId connection, const std::string& host, bool admin,
-                const heronworks::Address& peer) override;
-  void closed(nvme::ConnectionId connection) override;
+  void execute_command(nvme::Command&& command) override;
+  void get_log_page(nvme::ConnectionId connection, std::uint16_t cid, std::uint8_t page, std::uint64_t offset,
+                    std::uint32_t length) override;
+  void connection_established(nvme::ConnectionId connection, const std::string& host, bool admin,
+                              const heronworks::Address& peer) override;
+  void connection_closed(nvme::ConnectionId connection) override;
 
  private:
   // A transaction from landing until the module forgets it.
@@ -130,7 +130,7 @@
   std::vector<NodeEntry> take_list(const std::vector<ListedNode>& nodes);
   void let_go_of_gone();
   void connect_to_listed();
-  void answer(Slot& slot, nvme::Status status, std::uint64_t result = 0, nvme::View data = {});
+  void answer(Slot& slot, nvme::Status status, std::uint64_t result = 0, nvme::ByteView data = {});
   void check_drained();
   void report();
 
@@ -142,7 +142,7 @@
   std::unique_ptr<nvme::Target> target_;
   std::unique_ptr<ListWatch> list_;
   std::unique_ptr<Control> control_;
-  Slots<Slot> slots_;                                                // by transaction
+  SlotTable<Slot> slots_;                                            // by transaction
   std::unordered_map<nvme::ConnectionId, std::set<int>> by_client_;  // open ones; emptied with them
   std::unordered_map<nvme::ConnectionId, ClientFacts> facts_;  // of I/O connections; emptied as they close
   store::PosixFileSystem files_;
@@ -153,10 +153,10 @@
   Loop::TimerId draining_ = 0;
   Door door_;
   std::vector<NodeSlot> nodes_;  // by the module's index; one whose address is gone for long has no link
-  NodeNumbers numbers_;          // by address
+  NodeIndexTable numbers_;       // by address
   Loop::TimerId wake_ = 0;
   Loop::TimerId report_ = 0;
-  std::unique_ptr<Beat> beat_;
+  std::unique_ptr<Watchdog> beat_;
   Counts counts_;
   Counts reported_;
   std::function<void()> drained_;
