--- a/src/ledger/ledger_state.h
+++ b/src/ledger/ledger_state.h
@@ -79,7 +79,7 @@
   // Seals the current period if it is over and evicts expired identities.
   void advance(double time, std::vector<std::string>& out);
   void add_note(double time, const std::string& text, std::vector<std::string>& out);
-  // Number of the period that entries are recorded in; -1 before open() and without records.
+  // Number of the period that entries are recorded in; -1 if there is none yet.
   std::int64_t current_period() const { return period_; }
 
   std::uint64_t ledger_id() const { return ledger_id_; }
--- a/src/ledger/reconcile.h
+++ b/src/ledger/reconcile.h
@@ -14,14 +14,14 @@
 struct ReconcileOptions {
   std::string scratch_folder;  // for sorted runs, which are removed at the end
   std::size_t max_entries_in_memory = 500000;
-  bool include_unsealed = false;  // entries of the current period too
+  bool include_unsealed = false;  // include entries of periods that are not sealed
   std::string client_report;      // file with a line "identity volume units" for each succeeded transaction;
                                   // empty: none
 };
 
 enum class DiscrepancyKind {
   kBilledTwice,         // several entries bill the same identity
-  kUnitsDiffer,         // and with different units, or with others than the client reports
+  kUnitsDiffer,         // entries of one identity differ in units, or from the client report
   kUnknownToClients,    // an entry whose success no client saw; its answer was lost
   kMissingFromLedgers,  // succeeded by the clients' report, but no ledger has an entry
 };
--- a/tests/ledger/ledger_state_test.cpp
+++ b/tests/ledger/ledger_state_test.cpp
@@ -67,8 +67,8 @@
         ledger = std::move(restarted);
       }
     };
-    const auto record = [&](double t, const UsageEntry& entry) {
-      ledger->record_usage(t, entry, out);
+    const auto record = [&](double time, const UsageEntry& entry) {
+      ledger->record_usage(time, entry, out);
       append_to_log();
     };
     ledger->open(1000, 77, 0, out);
@@ -189,22 +189,22 @@
     "ledger clock: never goes back, slows down behind a wall clock set back, ignores long jumps ahead") {
   std::string trace;
   MonotonicLedgerClock clock(0, 0, 1000, 100);
-  const auto at = [&](double mono, double wall) {
+  const auto read_clock = [&](double mono, double wall) {
     char line[64];
-    const double t = clock.time(mono, wall);
-    std::snprintf(line, sizeof line, "%.1f%s ", t, clock.wall_clock_distrusted() ? "?" : "");
+    const double time = clock.time(mono, wall);
+    std::snprintf(line, sizeof line, "%.1f%s ", time, clock.wall_clock_distrusted() ? "?" : "");
     trace += line;
   };
-  at(1, 1001);
-  at(2, 1002);
-  at(3, 993);  // set back by 10 s
-  at(13, 1003);
-  at(113, 1103);
-  at(114, 1104);
-  at(115, 1200);  // jump of less than max_jump
-  at(116, 9000);  // jump of more than max_jump
-  at(117, 9001);
-  at(118, 1203);  // corrected
+  read_clock(1, 1001);
+  read_clock(2, 1002);
+  read_clock(3, 993);  // set back by 10 s
+  read_clock(13, 1003);
+  read_clock(113, 1103);
+  read_clock(114, 1104);
+  read_clock(115, 1200);  // jump of less than max_jump
+  read_clock(116, 9000);  // jump of more than max_jump
+  read_clock(117, 9001);
+  read_clock(118, 1203);  // corrected
   CHECK(trace == "1001.0 1002.0 1002.9 1011.9 1103.0 1104.0 1200.0 1201.0? 1202.0? 1203.0 ");
   MonotonicLedgerClock restarted(5000, 0, 1000, 100);  // wall clock behind the ledger at start
   CHECK(restarted.time(10, 1010) == 5009);
@@ -216,11 +216,11 @@
   for (int i = 0; i < 12; ++i) trace += "RSX"[static_cast<int>(tracker.classify(1 + 0.1 * i, 0, 4, 7, 1))];
   CHECK(trace == "RRRRRRSSRSRS");
   for (int i = 12; i < 400; ++i) trace += "RSX"[static_cast<int>(tracker.classify(1 + 0.1 * i, 0, 4, 7, 1))];
-  CHECK(std::count(trace.begin(), trace.end(), 'R') ==
-        163);  // 4 units/s for 40 s, and the burst window at first
+  // 4 units/s for 40 s, and the burst window at first.
+  CHECK(std::count(trace.begin(), trace.end(), 'R') == 163);
   CHECK(std::count(trace.begin(), trace.end(), 'S') == 120);
-  CHECK(tracker.classify(100, 0, 4, 7, 9) ==
-        BillingTier::kReservation);  // larger than the burst window, in an empty bucket
+  // Larger than the burst window, in an empty bucket.
+  CHECK(tracker.classify(100, 0, 4, 7, 9) == BillingTier::kReservation);
   CHECK(tracker.classify(10, 1, 0, 0, 1) == BillingTier::kSpare);
 }
 
