--- a/bench/ledger.cpp
+++ b/bench/ledger.cpp
@@ -29,12 +29,12 @@
   options.keep_all_segments = true;
   const auto log = store::Log::open(files, folder + "/entries", options, {}, state, error);
   if (!log) std::exit(1);
-  Book book({3600, 60, 200000});
+  LedgerState book({3600, 60, 200000});
   std::vector<std::string> records;
   book.open(1e9, first_identity + 1, 0, records);
   const double start = now_seconds();
   for (std::uint64_t i = 0; i < entry_count; ++i) {
-    Use use;
+    UsageEntry use;
     use.identity = first_identity + i;
     use.tenant = "cooperative";
     use.volume = static_cast<std::uint32_t>(1 + i % 300);
@@ -43,12 +43,12 @@
     use.units = static_cast<std::uint32_t>(1 + i % 8);
     use.bytes = 4096 * use.units;
     use.client = "nqn.2026-11.org.heronworks:client.7";
-    book.honoured(1e9 + 0.0001 * static_cast<double>(i), use, records);
+    book.record_usage(1e9 + 0.0001 * static_cast<double>(i), use, records);
     for (const std::string& record : records) log->append(store::byte_view(record));
     records.clear();
     if (log->pending_count() >= 1000 && log->commit() != 0) std::exit(1);
   }
-  book.tick(1e9 + 0.0001 * static_cast<double>(entry_count) + 7200, records);
+  book.advance(1e9 + 0.0001 * static_cast<double>(entry_count) + 7200, records);
   for (const std::string& record : records) log->append(store::byte_view(record));
   if (log->commit() != 0) std::exit(1);
   log->write_durability_marker();
@@ -62,11 +62,11 @@
   const double start = now_seconds();
   store::ReplayResult state;
   store::FileError error;
-  Book book({3600, 60, 200000});
+  LedgerState book({3600, 60, 200000});
   std::string replay_error;
   store::LogOptions options;
   options.keep_all_segments = true;
-  if (!store::Log::open(files, folder + "/entries", options, into(book, replay_error), state, error) ||
+  if (!store::Log::open(files, folder + "/entries", options, replay_into(book, replay_error), state, error) ||
       !replay_error.empty())
     std::exit(1);
   return now_seconds() - start;
@@ -110,17 +110,17 @@
     total_entries += max_entries / 10;
     if (i != 0 && i != 2 && i != 9) continue;
     ReconcileOptions options;
-    options.scratch = root + "/runs";
-    Reconciled result;
+    options.scratch_folder = root + "/runs";
+    ReconciliationSummary result;
     store::FileError error;
     const double start = now_seconds();
     if (!reconcile(
-            files, folders, options, [](const Found&) {}, result, error))
+            files, folders, options, [](const Discrepancy&) {}, result, error))
       return 1;
     std::printf("%12zu %10llu %12.2f %14.0f %12.0f  billed twice %llu\n", folders.size(),
                 static_cast<unsigned long long>(total_entries), now_seconds() - start,
                 static_cast<double>(total_entries) / (now_seconds() - start), peak_memory_mib(),
-                static_cast<unsigned long long>(result.found[0]));
+                static_cast<unsigned long long>(result.discrepancies[0]));
   }
   std::filesystem::remove_all(root);
   return 0;
--- a/src/gateway/scheduler.cpp
+++ b/src/gateway/scheduler.cpp
@@ -65,9 +65,9 @@
     }
   }
   if (!config.ledger.folder.empty()) {
-    ledger::KeeperOptions ledger_options;
+    ledger::LedgerServiceOptions ledger_options;
     ledger_options.folder = config.ledger.folder;
-    ledger_options.book = {config.ledger.period, config.ledger.dedup_window, config.ledger.max_identities};
+    ledger_options.state = {config.ledger.period, config.ledger.dedup_window, config.ledger.max_identities};
     // Holds the entries of all open transactions twice, as the ledger accepts no new ones once it is half
     // full.
     ledger_options.writer.max_pending_records =
@@ -77,9 +77,9 @@
     ledger_options.scheduler = static_cast<std::uint32_t>(config.settings.scheduler_index);
     ledger_options.new_ledger = last_generated_idempotency_key_ ^ static_cast<std::uint64_t>(::getpid())
                                                                       << 32;
-    ledger_ = std::make_unique<ledger::Keeper>(loop, files_, ledger_options, *this);
+    ledger_ = std::make_unique<ledger::LedgerService>(loop, files_, ledger_options, *this);
     log_.info(loop_.now(), "ledger.opened",
-              {{"entries", ledger_->book().entries()}, {"period", ledger_->book().period()}});
+              {{"entries", ledger_->state().entry_count()}, {"period", ledger_->state().current_period()}});
   }
   target_ = std::make_unique<nvme::Target>(loop, std::move(listener), target_options(config), *this);
   report_timer_ = loop_.run_at(loop_.now() + kReportInterval, [this] { log_counts(); });
@@ -198,7 +198,7 @@
   if (drain_done_ || !admission_.can_admit(match->tenant, bytes))
     return finish(busy, counts_.rejected_at_admission);
 
-  if (ledger_ && !ledger_->takes()) return finish(busy, counts_.rejected_by_ledger);
+  if (ledger_ && !ledger_->accepts()) return finish(busy, counts_.rejected_by_ledger);
 
   if (match->failed_evaluations > 0) {
     counts_.rule_errors += static_cast<std::uint64_t>(match->failed_evaluations);
@@ -372,7 +372,7 @@
   const auto client = clients_.find(pending.connection);
   const Plan& plan = config_.settings.plans[static_cast<std::size_t>(pending.transaction.plan)];
   const double schedulers = std::max(pending.transaction.volume_schedulers, 1);
-  ledger::Use use;
+  ledger::UsageEntry use;
   use.identity = pending.sqe.idempotency_key();
   use.unnamed = pending.has_generated_idempotency_key;
   use.tenant = matcher_.tenant_name(pending.sqe.nsid);
@@ -381,15 +381,15 @@
   use.profile = config_.profile_names[static_cast<std::size_t>(pending.transaction.profile)];
   use.units = static_cast<std::uint32_t>(pending.transaction.units);
   use.bytes = std::uint64_t{pending.sqe.blocks()} * config_.block_bytes;
-  use.standing = standings_.of(now(), pending.transaction.volume, plan.reservation / schedulers,
-                               plan.usual_rate / schedulers, pending.transaction.units);
+  use.tier = standings_.classify(now(), pending.transaction.volume, plan.reservation / schedulers,
+                                 plan.usual_rate / schedulers, pending.transaction.units);
   if (client != clients_.end()) use.client = client->second.name;
   use.attempt = static_cast<std::uint32_t>(pending.sqe.client_attempt());
   if (pending.rule >= 0) use.labels = &matcher_.rules().rule(pending.rule).labels;
-  const std::uint64_t ticket = ledger_->honoured(use);
+  const std::uint64_t ticket = ledger_->record_usage(use);
   if (!config_.ledger.durable_before_response) return answer(pending, nvme::status::kOk, result, data);
   const Profile& profile = config_.settings.profiles[static_cast<std::size_t>(pending.transaction.profile)];
-  const double hold_until = ledger_->pressure().hold_until(
+  const double hold_until = ledger_->backpressure().hold_until(
       now(), pending.arrived_at + profile.target_latency, pending.arrived_at + pending.transaction.time_left);
   delayed_responses_.push_back(
       {ticket, hold_until, pending.connection, pending.sqe.cid, result, std::move(data)});
@@ -399,7 +399,7 @@
                                            [this] { send_overdue_responses(); });
 }
 
-void Scheduler::entered(std::uint64_t ticket) {
+void Scheduler::on_entries_durable(std::uint64_t ticket) {
   while (!delayed_responses_.empty() && delayed_responses_.front().ticket <= ticket) {
     const DelayedResponse& response = delayed_responses_.front();
     if (!response.sent)
@@ -428,12 +428,12 @@
                                            [this] { send_overdue_responses(); });
 }
 
-void Scheduler::ledger_state(bool read_only, const std::string& reason) {
+void Scheduler::on_ledger_read_only_changed(bool read_only, const std::string& reason) {
   if (read_only) log_.error(loop_.now(), "ledger.read_only", {{"reason", reason}});
   else log_.info(loop_.now(), "ledger.takes_entries");
 }
 
-void Scheduler::ledger_note(const char* event, const std::string& text) {
+void Scheduler::on_ledger_event(const char* event, const std::string& text) {
   log_.warn(loop_.now(), event, {{"text", text}});
 }
 
--- a/src/gateway/scheduler.h
+++ b/src/gateway/scheduler.h
@@ -14,7 +14,7 @@
 #include "host/node_index_table.h"
 #include "host/slot_table.h"
 #include "host/watchdog.h"
-#include "ledger/keeper.h"
+#include "ledger/ledger_service.h"
 #include "log/log.h"
 #include "nvme/target.h"
 
@@ -44,7 +44,7 @@
                         public nvme::Backend,
                         public NodeConnectionOwner,
                         public EndpointListOwner,
-                        public ledger::KeeperOwner {
+                        public ledger::LedgerServiceOwner {
  public:
   // Throws std::runtime_error if it cannot listen.
   Scheduler(Loop& loop, const config::GatewayConfig& config, Log& log);
@@ -118,9 +118,9 @@
   void endpoint_list_failed(const std::string& reason) override;
 
   // ledger::KeeperOwner.
-  void entered(std::uint64_t ticket) override;
-  void ledger_state(bool read_only, const std::string& reason) override;
-  void ledger_note(const char* event, const std::string& text) override;
+  void on_entries_durable(std::uint64_t ticket) override;
+  void on_ledger_read_only_changed(bool read_only, const std::string& reason) override;
+  void on_ledger_event(const char* event, const std::string& text) override;
 
   void record_and_answer(PendingTransaction& pending, std::uint64_t result, nvme::Bytes&& data);
   void send_overdue_responses();
@@ -147,8 +147,8 @@
   std::unordered_map<nvme::ConnectionId, std::set<int>> unanswered_;
   std::unordered_map<nvme::ConnectionId, ClientInfo> clients_;  // of open I/O connections
   store::PosixFileSystem files_;
-  std::unique_ptr<ledger::Keeper> ledger_;  // null if none is configured
-  ledger::Standings standings_;
+  std::unique_ptr<ledger::LedgerService> ledger_;  // null if none is configured
+  ledger::BillingTierTracker standings_;
   // By ticket; bounded by the number of open transactions, emptied as entries become durable.
   std::deque<DelayedResponse> delayed_responses_;
   Loop::TimerId delayed_response_timer_ = 0;
--- a/tests/gateway/ledger_test.cpp
+++ b/tests/gateway/ledger_test.cpp
@@ -7,7 +7,7 @@
 #include <filesystem>
 
 #include "gateway_fixture.h"
-#include "ledger/reading.h"
+#include "ledger/ledger_reader.h"
 
 using namespace heronworks;
 using namespace heronworks::test;
@@ -18,15 +18,15 @@
 struct LedgerContents {
   explicit LedgerContents(const std::string& folder) {
     store::PosixFileSystem files;
-    ledger::Visitor visitor;
-    visitor.entry = [&](const ledger::wire::Entry& e, std::string_view) { entries.push_back(e); };
+    ledger::LedgerVisitor visitor;
+    visitor.on_entry = [&](const ledger::wire::Entry& e, std::string_view) { entries.push_back(e); };
     store::FileError fault;
     readable = ledger::read_ledger(files, folder, visitor, facts, fault);
     INFO(fault.to_string());
     CHECK(readable);
   }
   bool readable = false;
-  ledger::LedgerFacts facts;
+  ledger::LedgerSummary facts;
   std::vector<ledger::wire::Entry> entries;
 };
 
@@ -145,7 +145,9 @@
   const LedgerContents after(folder);
   REQUIRE(after.entries.size() == 4);
   CHECK(after.entries[3].repeat_of() == 1);
-  CHECK(after.facts.open_units + (after.facts.closed.empty() ? 0 : after.facts.closed[0].units()) == 5);
+  CHECK(after.facts.open_units +
+            (after.facts.sealed_periods.empty() ? 0 : after.facts.sealed_periods[0].units()) ==
+        5);
   bool drained = false;
   c.read(7, 5);
   REQUIRE(fixture.run_until([&] { return fixture.nodes[0]->commands.size() == 2; }));
