--- a/src/lab/bills.cpp
+++ b/src/lab/bills.cpp
@@ -1,4 +1,3 @@
-// Ledgers against clients: see bills.h.
 #include "lab/bills.h"
 
 #include <fstream>
@@ -15,88 +14,92 @@
   return folder + "/ledger-" + std::to_string(scheduler);
 }
 
-std::string Bills::line() const {
-  std::string s = "ledgers: " + std::to_string(entries) + " entries, " + std::to_string(honoured) +
-                  " honoured by clients; billed twice " + std::to_string(twice) + ", in flight " +
-                  std::to_string(in_flight) + ", not entered " + std::to_string(lost) + " (" +
-                  std::to_string(ahead) + " answered ahead), " + std::to_string(repeats) + " repeats, " +
-                  std::to_string(corrections) + " corrections; " +
-                  (faults.empty() ? "adds up by tenant and volume\n" : "WRONG\n");
-  for (const auto& f : faults) s += "  " + f + "\n";
+std::string BillingCheck::summary() const {
+  std::string s = "ledgers: " + std::to_string(entries) + " entries, " + std::to_string(succeeded) +
+                  " honoured by clients; billed twice " + std::to_string(double_billed) + ", in flight " +
+                  std::to_string(unacknowledged) + ", not entered " + std::to_string(missing) + " (" +
+                  std::to_string(answered_early) + " answered ahead), " + std::to_string(repeats) +
+                  " repeats, " + std::to_string(corrections) + " corrections; " +
+                  (errors.empty() ? "adds up by tenant and volume\n" : "WRONG\n");
+  for (const auto& f : errors) s += "  " + f + "\n";
   return s;
 }
 
-Bills check_bills(const Day& day, const std::vector<Event>& events, const std::string& folder) {
-  Bills b;
-  const auto wrong = [&](const std::string& what) {
-    if (b.faults.size() < 10) b.faults.push_back(what);
+BillingCheck check_billing(const Scenario& scenario, const std::vector<Event>& events,
+                           const std::string& folder) {
+  BillingCheck check;
+  const auto add_error = [&](const std::string& what) {
+    if (check.errors.size() < 10) check.errors.push_back(what);
   };
-  // What clients were told, and whose connection broke.
-  struct Told {
+  // Successful transactions as clients saw them, and transactions whose connection broke.
+  struct Acknowledged {
     int volume;
     std::int64_t units;
   };
-  std::map<std::uint64_t, Told> told;
-  std::set<std::uint64_t> broken;
+  std::map<std::uint64_t, Acknowledged> acknowledged;
+  std::set<std::uint64_t> connection_lost;
   std::map<std::uint64_t, const Event*> sent;
   for (const Event& e : events) {
-    if (e.kind == Kind::kSent) sent[e.label] = &e;
-    if (e.kind == Kind::kLost || e.kind == Kind::kLeft) broken.insert(e.label);
-    if (e.kind == Kind::kAnswer && e.outcome == "honoured")
-      told[e.label] = {e.volume, static_cast<std::int64_t>(e.units)};
+    if (e.kind == EventKind::kSent) sent[e.idempotency_key] = &e;
+    if (e.kind == EventKind::kConnectionLost || e.kind == EventKind::kClientLeft)
+      connection_lost.insert(e.idempotency_key);
+    if (e.kind == EventKind::kAnswered && e.outcome == "honoured")
+      acknowledged[e.idempotency_key] = {e.volume, static_cast<std::int64_t>(e.units)};
   }
-  b.honoured = told.size();
+  check.succeeded = acknowledged.size();
   {
     std::ofstream f(folder + "/clients.txt");
-    for (const auto& [label, t] : told) f << label << " " << t.volume + 1 << " " << t.units << "\n";
+    for (const auto& [idempotency_key, t] : acknowledged)
+      f << idempotency_key << " " << t.volume + 1 << " " << t.units << "\n";
   }
-  for (int s = 0; s < day.schedulers; ++s) {
+  for (int s = 0; s < scenario.schedulers; ++s) {
     std::ifstream log(folder + "/scheduler-" + std::to_string(s) + ".log");
     std::string line;
     while (std::getline(log, line)) {
       const auto j = nlohmann::json::parse(line, nullptr, false);
-      if (j.is_object() && j.contains("ahead")) b.ahead += j["ahead"].get<std::uint64_t>();
+      if (j.is_object() && j.contains("ahead")) check.answered_early += j["ahead"].get<std::uint64_t>();
     }
   }
   store::PosixFileSystem files;
   store::FileError fault;
   std::vector<std::string> folders;
-  for (int s = 0; s < day.schedulers; ++s) folders.push_back(ledger_folder(folder, s));
+  for (int s = 0; s < scenario.schedulers; ++s) folders.push_back(ledger_folder(folder, s));
   ledger::ReconcileOptions options;
   options.scratch = folder + "/reconcile";
   options.open_too = true;
   options.clients = folder + "/clients.txt";
-  options.most_in_memory = 1000;  // so that there are runs to merge
+  options.most_in_memory = 1000;  // small, to exercise the merge of sorted runs
   std::vector<ledger::Found> found;
   ledger::Reconciled r;
   if (!ledger::reconcile(
           files, folders, options, [&](const ledger::Found& f) { found.push_back(f); }, r, fault)) {
-    wrong(fault.to_string());
-    return b;
+    add_error(fault.to_string());
+    return check;
   }
-  b.entries = r.entries;
-  b.repeats = r.repeats;
-  std::uint64_t not_entered = 0;
+  check.entries = r.entries;
+  check.repeats = r.repeats;
+  std::uint64_t missing_entries = 0;
   for (const auto& f : found) {
-    if (f.what == ledger::Finding::kBilledTwice) ++b.twice;
+    if (f.what == ledger::Finding::kBilledTwice) ++check.double_billed;
     if (f.what == ledger::Finding::kUnitsDiffer)
-      wrong("identity " + std::to_string(f.identity) + " was billed with other units");
-    if (f.what == ledger::Finding::kNotInLedgers) ++not_entered;
+      add_error("identity " + std::to_string(f.identity) + " was billed with other units");
+    if (f.what == ledger::Finding::kNotInLedgers) ++missing_entries;
     if (f.what != ledger::Finding::kNotByClients) continue;
-    ++b.in_flight;
-    if (!broken.contains(f.identity))
-      wrong("identity " + std::to_string(f.identity) +
-            " is billed, no client was told, and no connection broke");
+    ++check.unacknowledged;
+    if (!connection_lost.contains(f.identity))
+      add_error("identity " + std::to_string(f.identity) +
+                " is billed, no client was told, and no connection broke");
   }
-  b.lost = not_entered;
-  if (not_entered > b.ahead) wrong(std::to_string(not_entered) + " honoured transactions are in no ledger");
-  // The proposals are made corrections; then nothing is left to find but what was never entered.
+  check.missing = missing_entries;
+  if (missing_entries > check.answered_early)
+    add_error(std::to_string(missing_entries) + " honoured transactions are in no ledger");
+  // Apply the proposed corrections. A second reconciliation may then report only the missing entries.
   for (std::size_t l = 0; l < folders.size(); ++l) {
     ledger::LedgerFacts facts;
     ledger::Desk desk;
-    if (!ledger::read_ledger(files, folders[l], {}, facts, fault)) return wrong(fault.to_string()), b;
+    if (!ledger::read_ledger(files, folders[l], {}, facts, fault)) return add_error(fault.to_string()), check;
     const auto log = ledger::open_desk(files, folders[l], desk, fault);
-    if (!log) return wrong(fault.to_string()), b;
+    if (!log) return add_error(fault.to_string()), check;
     for (const auto& f : found) {
       if (f.units == 0 || f.ledger != facts.ledger) continue;
       ledger::wire::DeskRecord record;
@@ -110,35 +113,35 @@
       c.set_units(f.units);
       c.set_who("reconciliation");
       c.set_why(ledger::name(f.what));
-      if (ledger::add_to_desk(*log, desk, record) != 0) wrong("a correction cannot be written");
-      ++b.corrections;
+      if (ledger::add_to_desk(*log, desk, record) != 0) add_error("a correction cannot be written");
+      ++check.corrections;
     }
   }
   found.clear();
   if (!ledger::reconcile(
           files, folders, options, [&](const ledger::Found& f) { found.push_back(f); }, r, fault))
-    wrong(fault.to_string());
-  if (found.size() != not_entered)
-    wrong("a second reconciliation finds " + std::to_string(found.size()) + " more");
+    add_error(fault.to_string());
+  if (found.size() != missing_entries)
+    add_error("a second reconciliation finds " + std::to_string(found.size()) + " more");
 
-  // Bills, by tenant and volume.
-  std::map<std::pair<std::string, std::uint32_t>, std::int64_t> due;
+  // Compare the statements with the successful transactions, by tenant and volume.
+  std::map<std::pair<std::string, std::uint32_t>, std::int64_t> expected;
   std::map<std::pair<std::string, std::uint32_t>, std::int64_t> billed;
-  for (const auto& [label, t] : told)
-    due[{tenant_of(t.volume), static_cast<std::uint32_t>(t.volume + 1)}] += t.units;
+  for (const auto& [idempotency_key, t] : acknowledged)
+    expected[{tenant_of(t.volume), static_cast<std::uint32_t>(t.volume + 1)}] += t.units;
   std::set<std::int64_t> periods;
   for (const std::string& f : folders) {
     ledger::LedgerFacts facts;
     ledger::Visitor visitor;
     visitor.entry = [&](const ledger::wire::Entry& e, std::string_view) { periods.insert(e.period()); };
-    if (!ledger::read_ledger(files, f, visitor, facts, fault)) wrong(fault.to_string());
+    if (!ledger::read_ledger(files, f, visitor, facts, fault)) add_error(fault.to_string());
   }
   for (int tenant = 0; tenant < 7; ++tenant) {
     for (const std::int64_t p : periods) {
       ledger::Statement s;
       if (!ledger::make_statement(files, folders, tenant_of(tenant), p, s, fault))
-        return wrong(fault.to_string()), b;
-      if (s.sealed && !s.lines.empty() && b.statement.empty()) b.statement = ledger::as_text(s);
+        return add_error(fault.to_string()), check;
+      if (s.sealed && !s.lines.empty() && check.statement.empty()) check.statement = ledger::as_text(s);
       std::int64_t lines = 0;
       for (const auto& [key, l] : s.lines) {
         billed[{s.tenant, std::get<0>(key)}] += static_cast<std::int64_t>(l.units);
@@ -146,21 +149,21 @@
       }
       for (const auto& c : s.corrections) billed[{s.tenant, c.volume()}] += c.units();
       for (const auto& c : s.corrections) lines += c.units();
-      if (lines != s.total()) wrong("a statement does not add up");
+      if (lines != s.total()) add_error("a statement does not add up");
     }
   }
-  if (not_entered == 0) {
-    for (const auto& [key, units] : due) {
+  if (missing_entries == 0) {
+    for (const auto& [key, units] : expected) {
       if (billed[key] != units)
-        wrong(key.first + ", volume " + std::to_string(key.second) + ": " + std::to_string(billed[key]) +
-              " units billed, " + std::to_string(units) + " honoured");
+        add_error(key.first + ", volume " + std::to_string(key.second) + ": " + std::to_string(billed[key]) +
+                  " units billed, " + std::to_string(units) + " honoured");
     }
     for (const auto& [key, units] : billed) {
-      if (units != 0 && !due.contains(key))
-        wrong(key.first + ", volume " + std::to_string(key.second) + ": billed without use");
+      if (units != 0 && !expected.contains(key))
+        add_error(key.first + ", volume " + std::to_string(key.second) + ": billed without use");
     }
   }
-  return b;
+  return check;
 }
 
 }  // namespace heronworks::lab
--- a/src/lab/bills.h
+++ b/src/lab/bills.h
@@ -1,6 +1,6 @@
-// Holds the schedulers' ledgers of a day against what clients were told: after the corrections that
-// reconciliation proposes, what is billed must be what clients had honoured, by tenant and volume, to the
-// unit.
+// Compares the schedulers' ledgers of a scenario with the answers that clients received. After the
+// corrections proposed by reconciliation, the billed units of each tenant and volume must equal the units
+// of the transactions that succeeded.
 #pragma once
 
 #include "lab/day.h"
@@ -8,25 +8,25 @@
 
 namespace heronworks::lab {
 
-struct Bills {
+struct BillingCheck {
   std::uint64_t entries = 0;
   std::uint64_t repeats = 0;
-  std::uint64_t honoured = 0;  // by clients
-  std::uint64_t twice = 0;     // billed by two schedulers, taken back
-  std::uint64_t in_flight =
-      0;                   // entered, and no client heard of it: taken back; each has a broken connection
-  std::uint64_t lost = 0;  // honoured and not entered: allowed only where answers went out ahead
-  std::uint64_t ahead =
-      0;  // answers that went out before their entries were durable, by the schedulers' logs
+  std::uint64_t succeeded = 0;      // transactions that a client saw succeed
+  std::uint64_t double_billed = 0;  // billed by two schedulers; corrected
+  std::uint64_t unacknowledged =
+      0;  // in a ledger, but the connection broke before a client got the answer; corrected
+  std::uint64_t missing = 0;         // succeeded but in no ledger; at most `answered_early`
+  std::uint64_t answered_early = 0;  // answers sent before their ledger entry was durable, from the logs
   std::uint64_t corrections = 0;
-  std::string statement;            // one of them, as a tenant reads it
-  std::vector<std::string> faults;  // empty: all adds up
-  std::string line() const;
+  std::string statement;            // a sample statement
+  std::vector<std::string> errors;  // empty if the bills are correct
+  std::string summary() const;
 };
 
-Bills check_bills(const Day& day, const std::vector<Event>& events, const std::string& folder);
+BillingCheck check_billing(const Scenario& scenario, const std::vector<Event>& events,
+                           const std::string& folder);
 
-std::string tenant_of(int volume);  // of a day's volume, by its index
+std::string tenant_of(int volume);  // `volume` is the scenario's volume index
 std::string ledger_folder(const std::string& folder, int scheduler);
 
 }  // namespace heronworks::lab
--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -1,4 +1,3 @@
-// Days: see day.h.
 #include "lab/day.h"
 
 #include <algorithm>
@@ -12,70 +11,71 @@
 namespace heronworks::lab {
 namespace {
 
-// Draws do not depend on the standard library's distributions.
+// Uniform draws that do not depend on the standard library, whose distributions vary.
 double draw(std::minstd_rand& random, double from, double to) {
   return from + (to - from) * static_cast<double>(random() - 1) / 2147483646.0;
 }
 int draw_int(std::minstd_rand& random, int from, int to) {
   return from + static_cast<int>(draw(random, 0, 1) * (to - from + 1)) % (to - from + 1);
 }
-std::minstd_rand stream(const Day& day, std::uint64_t part) {
-  return std::minstd_rand(
-      static_cast<std::minstd_rand::result_type>((day.seed * 2654435761U + part * 40503U) % 2147483646U + 1));
+std::minstd_rand stream(const Scenario& scenario, std::uint64_t part) {
+  return std::minstd_rand(static_cast<std::minstd_rand::result_type>(
+      (scenario.seed * 2654435761U + part * 40503U) % 2147483646U + 1));
 }
 
-enum class Target { kNode, kScheduler, kPlan, kVolume, kAll };
+enum class TargetClass { kNode, kScheduler, kPlan, kVolume, kAll };
 
-Target target_of(Trouble t) {
+TargetClass target_of(FaultKind t) {
   switch (t) {
-    case Trouble::kSlow:
-    case Trouble::kHang:
-    case Trouble::kFastErrors:
-    case Trouble::kAnswersLost:
-    case Trouble::kAgeing:
-    case Trouble::kPauses:
-    case Trouble::kCrash:
-    case Trouble::kDrain:
-      return Target::kNode;
-    case Trouble::kSchedulerKilled:
-    case Trouble::kSchedulerStopped:
-    case Trouble::kClientLeaves:
-    case Trouble::kDiskFull:
-      return Target::kScheduler;
-    case Trouble::kPlanSurge:
-    case Trouble::kHeavy:
-      return Target::kPlan;
-    case Trouble::kVolumeSurge:
-      return Target::kVolume;
+    case FaultKind::kSlow:
+    case FaultKind::kHang:
+    case FaultKind::kFastErrors:
+    case FaultKind::kAnswersLost:
+    case FaultKind::kAgeing:
+    case FaultKind::kPauses:
+    case FaultKind::kCrash:
+    case FaultKind::kDrain:
+      return TargetClass::kNode;
+    case FaultKind::kSchedulerKilled:
+    case FaultKind::kSchedulerStopped:
+    case FaultKind::kClientDisconnects:
+    case FaultKind::kDiskFull:
+      return TargetClass::kScheduler;
+    case FaultKind::kPlanSurge:
+    case FaultKind::kHeavyTransactions:
+      return TargetClass::kPlan;
+    case FaultKind::kVolumeSurge:
+      return TargetClass::kVolume;
     default:
-      return Target::kAll;
+      return TargetClass::kAll;
   }
 }
 
-void read_troubles(config::Section& root, Day& day) {
+void read_fault_events(config::Section& root, Scenario& scenario) {
   std::uint64_t number = 0;
   for (config::Section& s : root.list("trouble")) {
-    auto random = stream(day, 1000 + ++number);
-    Act a;
-    const int kind = s.one_of("kind", trouble_names(), -1);
-    a.trouble = static_cast<Trouble>(std::max(kind, 0));
-    a.from = s.need_number("at", 0, 3600);
-    a.to = a.from + s.number("seconds", 1, 0, 3600);
-    a.size = s.number("size", 2, 0, 1000);
-    a.by_reset = s.flag("by_reset", false);
+    auto random = stream(scenario, 1000 + ++number);
+    FaultEvent fault;
+    const int kind = s.one_of("kind", fault_kind_names(), -1);
+    fault.kind = static_cast<FaultKind>(std::max(kind, 0));
+    fault.from = s.need_number("at", 0, 3600);
+    fault.to = fault.from + s.number("seconds", 1, 0, 3600);
+    fault.magnitude = s.number("size", 2, 0, 1000);
+    fault.by_reset = s.flag("by_reset", false);
     const double part = s.number("part", 0, 0, 1);
-    const double apart = s.number("apart", 0, 0, 3600);  // s between one target's start and the next's
+    const double apart =
+        s.number("apart", 0, 0, 3600);  // s between the starts of the fault at consecutive targets
     std::vector<double> named = s.numbers("targets", 0, 65535);
     s.finish();
     if (kind < 0) continue;
-    const Target target = target_of(a.trouble);
-    const int all = target == Target::kNode        ? day.nodes
-                    : target == Target::kScheduler ? day.schedulers
-                    : target == Target::kPlan      ? static_cast<int>(day.plan_names.size())
-                    : target == Target::kVolume    ? day.volumes()
-                                                   : 0;
-    if (target == Target::kAll) {
-      day.acts.push_back(a);
+    const TargetClass target = target_of(fault.kind);
+    const int all = target == TargetClass::kNode        ? scenario.nodes
+                    : target == TargetClass::kScheduler ? scenario.schedulers
+                    : target == TargetClass::kPlan      ? static_cast<int>(scenario.plan_names.size())
+                    : target == TargetClass::kVolume    ? scenario.volumes()
+                                                        : 0;
+    if (target == TargetClass::kAll) {
+      scenario.fault_events.push_back(fault);
       continue;
     }
     std::vector<int> order(static_cast<std::size_t>(all));
@@ -93,18 +93,19 @@
         s.complain("targets", "there is no number " + std::to_string(static_cast<int>(n)));
         continue;
       }
-      a.target = static_cast<int>(n);
-      day.acts.push_back(a);
-      a.from += apart;
-      a.to += apart;
+      fault.target = static_cast<int>(n);
+      scenario.fault_events.push_back(fault);
+      fault.from += apart;
+      fault.to += apart;
     }
   }
-  std::stable_sort(day.acts.begin(), day.acts.end(), [](auto& a, auto& b) { return a.from < b.from; });
+  std::stable_sort(scenario.fault_events.begin(), scenario.fault_events.end(),
+                   [](auto& a, auto& b) { return a.from < b.from; });
 }
 
 }  // namespace
 
-const std::vector<std::string>& trouble_names() {
+const std::vector<std::string>& fault_kind_names() {
   static const std::vector<std::string> kNames = {"slow",
                                                   "hang",
                                                   "fast_errors",
@@ -127,128 +128,133 @@
   return kNames;
 }
 
-int Day::volumes() const {
+int Scenario::volumes() const {
   int n = 0;
-  for (const Customers& c : customers) n += c.volumes;
+  for (const VolumeGroup& c : volume_groups) n += c.volumes;
   return n;
 }
 
-double Day::capacity() const { return nodes * cores / unit_time * (least_speed + most_speed) / 2; }
+double Scenario::capacity() const { return nodes * cores / unit_time * (min_speed + max_speed) / 2; }
 
-std::optional<Day> read_day(const std::string& path, std::uint64_t seed, config::Problems& problems) {
+std::optional<Scenario> read_scenario(const std::string& path, std::uint64_t seed,
+                                      config::Problems& problems) {
   const toml::table table = config::load(path, problems);
   if (!problems.empty()) return std::nullopt;
   config::Section root(table, "", path, problems);
-  Day d;
-  d.file = path;
+  Scenario scenario;
+  scenario.file = path;
   config::Section s = root.section("day");
-  d.name = s.text("name", path);
-  d.seconds = s.need_number("seconds", 0.5, 3600);
-  d.seed = static_cast<std::uint64_t>(s.integer("seed", 1, 1, 1 << 30));
-  if (seed != 0) d.seed = seed;
-  d.schedulers = static_cast<int>(s.integer("schedulers", 1, 1, 64));
-  d.nodes = static_cast<int>(s.integer("nodes", 1, 1, 64));
-  d.zones = static_cast<int>(s.integer("zones", 1, 1, 64));
-  d.answer_slack = s.number("answer_slack", 0.05, 0, 60);
-  d.drain_grace = s.number("drain_grace", 0.25, 0, 60);
+  scenario.name = s.text("name", path);
+  scenario.seconds = s.need_number("seconds", 0.5, 3600);
+  scenario.seed = static_cast<std::uint64_t>(s.integer("seed", 1, 1, 1 << 30));
+  if (seed != 0) scenario.seed = seed;
+  scenario.schedulers = static_cast<int>(s.integer("schedulers", 1, 1, 64));
+  scenario.nodes = static_cast<int>(s.integer("nodes", 1, 1, 64));
+  scenario.zones = static_cast<int>(s.integer("zones", 1, 1, 64));
+  scenario.answer_slack = s.number("answer_slack", 0.05, 0, 60);
+  scenario.drain_grace = s.number("drain_grace", 0.25, 0, 60);
   s.finish();
 
   config::Section space = root.section("space");
-  d.zone_blocks = static_cast<std::uint32_t>(space.integer("zone_blocks", 256, 1, 65536));
-  d.zones_a_volume = static_cast<std::uint32_t>(space.integer("zones", 64, 1, 65536));
-  d.unit_blocks = static_cast<std::uint32_t>(space.integer("unit_blocks", 1, 1, 64));
-  d.key_blocks = static_cast<std::uint32_t>(space.integer("key_blocks", 16, 1, 65536));
-  if (d.zones_a_volume % static_cast<std::uint32_t>(d.nodes) != 0)
+  scenario.zone_blocks = static_cast<std::uint32_t>(space.integer("zone_blocks", 256, 1, 65536));
+  scenario.zones_per_volume = static_cast<std::uint32_t>(space.integer("zones", 64, 1, 65536));
+  scenario.unit_blocks = static_cast<std::uint32_t>(space.integer("unit_blocks", 1, 1, 64));
+  scenario.key_blocks = static_cast<std::uint32_t>(space.integer("key_blocks", 16, 1, 65536));
+  if (scenario.zones_per_volume % static_cast<std::uint32_t>(scenario.nodes) != 0)
     space.complain("zones", "must be a multiple of the nodes, as zone z lies on shard z modulo nodes");
   space.finish();
 
   config::Section n = root.section("node");
-  d.cores = static_cast<int>(n.integer("cores", 2, 1, 64));
-  d.queue = static_cast<int>(n.integer("queue", 64, 0, 4096));
-  d.unit_time = n.number("unit_time", 0.004, 0, 10);
-  d.least_speed = n.number("least_speed", 1, 0.01, 100);
-  d.most_speed = n.number("most_speed", d.least_speed, d.least_speed, 100);
-  d.work_spread = n.number("work_spread", 0.3, 0, 1);
-  d.deferred = n.number("deferred", 0, 0, 0.95);
-  d.flush_every = n.number("flush_every", 2, 0.05, 3600);
-  d.pause_every = n.number("pause_every", 0, 0, 3600);
-  d.pause_time = n.number("pause_time", 0.1, 0, 60);
-  d.meter_late = n.number("meter_late", 0.3, 0, 60);
-  d.repeat_saving = n.number("repeat_saving", 0.9, 0, 1);
+  scenario.cores = static_cast<int>(n.integer("cores", 2, 1, 64));
+  scenario.queue = static_cast<int>(n.integer("queue", 64, 0, 4096));
+  scenario.unit_time = n.number("unit_time", 0.004, 0, 10);
+  scenario.min_speed = n.number("least_speed", 1, 0.01, 100);
+  scenario.max_speed = n.number("most_speed", scenario.min_speed, scenario.min_speed, 100);
+  scenario.work_variation = n.number("work_spread", 0.3, 0, 1);
+  scenario.deferred_fraction = n.number("deferred", 0, 0, 0.95);
+  scenario.flush_interval = n.number("flush_every", 2, 0.05, 3600);
+  scenario.pause_interval = n.number("pause_every", 0, 0, 3600);
+  scenario.pause_duration = n.number("pause_time", 0.1, 0, 60);
+  scenario.usage_report_delay = n.number("meter_late", 0.3, 0, 60);
+  scenario.dedup_saving = n.number("repeat_saving", 0.9, 0, 1);
   n.finish();
 
   config::Section l = root.section("list");
-  d.notice = l.number("notice", 0.3, 0, 60);
-  d.call_time = l.number("call_time", 0.002, 0, 60);
+  scenario.notice_delay = l.number("notice", 0.3, 0, 60);
+  scenario.response_delay = l.number("call_time", 0.002, 0, 60);
   l.finish();
 
   config::Section c = root.section("clients");
-  d.connections = static_cast<int>(c.integer("connections", 2, 1, 1000));
-  d.load = c.number("load", 0.5, 0, 100);
-  d.retry_lost = c.flag("retry_lost", false);
-  d.retries = static_cast<int>(c.integer("retries", 1, 0, 10));
-  d.backoff = c.number("backoff", 0.05, 0, 60);
-  d.lead_part = c.number("lead_part", 0.6, 0, 1);
+  scenario.connections_per_scheduler = static_cast<int>(c.integer("connections", 2, 1, 1000));
+  scenario.load_fraction = c.number("load", 0.5, 0, 100);
+  scenario.retry_lost_connections = c.flag("retry_lost", false);
+  scenario.max_retries = static_cast<int>(c.integer("retries", 1, 0, 10));
+  scenario.backoff = c.number("backoff", 0.05, 0, 60);
+  scenario.primary_fraction = c.number("lead_part", 0.6, 0, 1);
   c.finish();
 
   config::Section ledger = root.section("ledger");
-  d.ledger_period = ledger.number("period", 0, 1, 86400);
+  scenario.ledger_period = ledger.number("period", 0, 1, 86400);
   ledger.finish();
 
   config::Section r = root.section("rules");
-  d.rules = r.text("text", "");
+  scenario.rules_toml = r.text("text", "");
   r.finish();
 
-  config::read_profiles(root, d.settings, d.profile_names, &d.late_parts);
-  config::read_plans(root, d.settings, d.plan_names);
-  config::read_rules(root, d.settings);
-  d.matches = config::read_matches(root, d.profile_names);
-  d.read_rules = DayRules::read(d.rules, path, d.profile_names, d.settings.profiles, problems);
-  d.settings.scheduler_count = d.schedulers;
-  d.settings.requests_endpoint_list = true;
+  config::read_profiles(root, scenario.settings, scenario.profile_names, &scenario.late_benefit_fractions);
+  config::read_plans(root, scenario.settings, scenario.plan_names);
+  config::read_rules(root, scenario.settings);
+  scenario.matches = config::read_matches(root, scenario.profile_names);
+  scenario.parsed_rules = ScenarioRules::read(scenario.rules_toml, path, scenario.profile_names,
+                                              scenario.settings.profiles, problems);
+  scenario.settings.scheduler_count = scenario.schedulers;
+  scenario.settings.requests_endpoint_list = true;
 
   for (config::Section& w : root.list("work")) {
-    Work work;
-    work.profile = w.one_of("profile", d.profile_names, -1);
-    work.operation =
+    Workload workload;
+    workload.profile = w.one_of("profile", scenario.profile_names, -1);
+    workload.operation =
         static_cast<config::Operation>(std::max(0, w.one_of("operation", {"read", "write", "append"}, -1)));
-    work.share = w.number("share", 1, 0, 1e6);
-    work.least_units = static_cast<int>(w.integer("least_units", 1, 1, 1024));
-    work.most_units = static_cast<int>(w.integer("most_units", work.least_units, work.least_units, 1024));
-    work.fresh = w.number("fresh", 0, 0, 1);
-    if (work.most_units > d.settings.max_transaction_units)
+    workload.share = w.number("share", 1, 0, 1e6);
+    workload.min_units = static_cast<int>(w.integer("least_units", 1, 1, 1024));
+    workload.max_units =
+        static_cast<int>(w.integer("most_units", workload.min_units, workload.min_units, 1024));
+    workload.recent_fraction = w.number("fresh", 0, 0, 1);
+    if (workload.max_units > scenario.settings.max_transaction_units)
       w.complain("most_units", "over sharing.largest_units");
-    if (static_cast<std::uint32_t>(work.most_units) * d.unit_blocks > d.zone_blocks)
+    if (static_cast<std::uint32_t>(workload.max_units) * scenario.unit_blocks > scenario.zone_blocks)
       w.complain("most_units", "more blocks than a zone has");
     w.finish();
-    d.work.push_back(work);
+    scenario.workloads.push_back(workload);
   }
-  if (d.work.empty()) root.complain("", "at least one [[work]] is needed");
+  if (scenario.workloads.empty()) root.complain("", "at least one [[work]] is needed");
   for (config::Section& v : root.list("customers")) {
-    Customers k;
-    k.plan = v.one_of("plan", d.plan_names, -1);
-    k.share = v.number("share", 1, 0, 1e6);
-    k.volumes = static_cast<int>(v.integer("volumes", 1, 1, 100000));
-    k.least_hosts = static_cast<int>(v.integer("least_hosts", 1, 1, d.schedulers));
-    k.most_hosts = static_cast<int>(v.integer("most_hosts", k.least_hosts, k.least_hosts, d.schedulers));
-    k.least_shards = static_cast<int>(v.integer("least_shards", 1, 1, d.nodes));
-    k.most_shards = static_cast<int>(v.integer("most_shards", k.least_shards, k.least_shards, d.nodes));
+    VolumeGroup group;
+    group.plan = v.one_of("plan", scenario.plan_names, -1);
+    group.share = v.number("share", 1, 0, 1e6);
+    group.volumes = static_cast<int>(v.integer("volumes", 1, 1, 100000));
+    group.min_hosts = static_cast<int>(v.integer("least_hosts", 1, 1, scenario.schedulers));
+    group.max_hosts =
+        static_cast<int>(v.integer("most_hosts", group.min_hosts, group.min_hosts, scenario.schedulers));
+    group.min_shards = static_cast<int>(v.integer("least_shards", 1, 1, scenario.nodes));
+    group.max_shards =
+        static_cast<int>(v.integer("most_shards", group.min_shards, group.min_shards, scenario.nodes));
     v.finish();
-    d.customers.push_back(k);
+    scenario.volume_groups.push_back(group);
   }
-  if (d.customers.empty()) root.complain("", "at least one [[customers]] is needed");
-  read_troubles(root, d);
+  if (scenario.volume_groups.empty()) root.complain("", "at least one [[customers]] is needed");
+  read_fault_events(root, scenario);
   root.finish();
   if (!problems.empty()) return std::nullopt;
-  return d;
+  return scenario;
 }
 
-std::vector<VolumeFacts> volumes_of(const Day& day) {
-  auto random = stream(day, 1);
+std::vector<VolumeLayout> volume_layouts(const Scenario& scenario) {
+  auto random = stream(scenario, 1);
   double shares = 0;
-  for (const Customers& c : day.customers) shares += c.share;
-  std::vector<VolumeFacts> all;
-  const auto some = [&](int of, int count) {
+  for (const VolumeGroup& c : scenario.volume_groups) shares += c.share;
+  std::vector<VolumeLayout> all;
+  const auto draw_subset = [&](int of, int count) {
     std::vector<int> order(static_cast<std::size_t>(of));
     std::iota(order.begin(), order.end(), 0);
     for (std::size_t i = order.size(); i > 1; --i) {
@@ -257,66 +263,66 @@
     order.resize(static_cast<std::size_t>(count));
     return order;
   };
-  for (const Customers& c : day.customers) {
+  for (const VolumeGroup& c : scenario.volume_groups) {
     for (int i = 0; i < c.volumes; ++i) {
-      VolumeFacts v;
+      VolumeLayout v;
       v.plan = c.plan;
       v.share = c.share / shares / c.volumes;
-      v.schedulers = some(day.schedulers, draw_int(random, c.least_hosts, c.most_hosts));
-      v.shards = some(day.nodes, draw_int(random, c.least_shards, c.most_shards));
+      v.schedulers = draw_subset(scenario.schedulers, draw_int(random, c.min_hosts, c.max_hosts));
+      v.shards = draw_subset(scenario.nodes, draw_int(random, c.min_shards, c.max_shards));
       all.push_back(std::move(v));
     }
   }
   return all;
 }
 
-double node_speed(const Day& day, int node) {
-  auto random = stream(day, 100 + static_cast<std::uint64_t>(node));
-  return draw(random, day.least_speed, day.most_speed);
+double node_speed(const Scenario& scenario, int node) {
+  auto random = stream(scenario, 100 + static_cast<std::uint64_t>(node));
+  return draw(random, scenario.min_speed, scenario.max_speed);
 }
 
-std::vector<Life> lives_of(const Day& day, int node) {
-  std::vector<Life> lives(1);
-  for (const Act& a : day.acts) {
-    if (a.target != node) continue;
-    if (a.trouble == Trouble::kCrash) {
-      lives.back().to = a.from;
-      lives.push_back({a.to, 1e9, 1e9});
-    } else if (a.trouble == Trouble::kDrain) {  // `size` s of draining, then gone until `to`
-      lives.back().drained_at = a.from;
-      lives.back().to = std::min(a.from + a.size, a.to);
-      lives.push_back({a.to, 1e9, 1e9});
-    } else if (a.trouble == Trouble::kAgeing) {  // dies at the end, back after a second
-      lives.back().to = a.to;
-      lives.push_back({a.to + 1, 1e9, 1e9});
+std::vector<ProcessLifetime> node_lifetimes(const Scenario& scenario, int node) {
+  std::vector<ProcessLifetime> lifetimes(1);
+  for (const FaultEvent& fault : scenario.fault_events) {
+    if (fault.target != node) continue;
+    if (fault.kind == FaultKind::kCrash) {
+      lifetimes.back().to = fault.from;
+      lifetimes.push_back({fault.to, 1e9, 1e9});
+    } else if (fault.kind == FaultKind::kDrain) {  // drains for `magnitude` s, then is gone until `to`
+      lifetimes.back().drained_at = fault.from;
+      lifetimes.back().to = std::min(fault.from + fault.magnitude, fault.to);
+      lifetimes.push_back({fault.to, 1e9, 1e9});
+    } else if (fault.kind == FaultKind::kAgeing) {  // dies at the end, restarts 1 s later
+      lifetimes.back().to = fault.to;
+      lifetimes.push_back({fault.to + 1, 1e9, 1e9});
     }
   }
-  return lives;
+  return lifetimes;
 }
 
-std::string gateway_toml(const Day& day, int index, std::uint16_t port, std::uint16_t list_port,
+std::string gateway_toml(const Scenario& scenario, int index, std::uint16_t port, std::uint16_t list_port,
                          const std::string& folder) {
   std::ostringstream t;
   t.precision(12);
-  const Settings& s = day.settings;
-  t << "# scheduler " << index << " of the day '" << day.name << "'\n[scheduler]\nindex = " << index
-    << "\nschedulers = " << day.schedulers
-    << "\nseed = " << day.seed * 1000 + static_cast<std::uint64_t>(index) + 1
+  const Settings& s = scenario.settings;
+  t << "# scheduler " << index << " of the day '" << scenario.name << "'\n[scheduler]\nindex = " << index
+    << "\nschedulers = " << scenario.schedulers
+    << "\nseed = " << scenario.seed * 1000 + static_cast<std::uint64_t>(index) + 1
     << "\nlisten = \"127.0.0.1:" << port << "\"\n[list]\naddress = \"127.0.0.1:" << list_port
     << "\"\nsaved = \"" << folder << "/list-" << index
-    << ".json\"\n[nodes]\nkeep_alive = 30.0\n[space]\nblock_bytes = " << day.block_bytes
-    << "\nzone_blocks = " << day.zone_blocks << "\nzones = " << day.zones_a_volume
-    << "\nshards = " << day.nodes << "\nunit_blocks = " << day.unit_blocks
-    << "\nkey_blocks = " << day.key_blocks << "\n[log]\nfile = \"" << folder << "/scheduler-" << index
+    << ".json\"\n[nodes]\nkeep_alive = 30.0\n[space]\nblock_bytes = " << scenario.block_bytes
+    << "\nzone_blocks = " << scenario.zone_blocks << "\nzones = " << scenario.zones_per_volume
+    << "\nshards = " << scenario.nodes << "\nunit_blocks = " << scenario.unit_blocks
+    << "\nkey_blocks = " << scenario.key_blocks << "\n[log]\nfile = \"" << folder << "/scheduler-" << index
     << ".log\"\n";
-  if (day.ledger_period > 0)
-    t << "[ledger]\nfolder = \"" << ledger_folder(folder, index) << "\"\nperiod = " << day.ledger_period
+  if (scenario.ledger_period > 0)
+    t << "[ledger]\nfolder = \"" << ledger_folder(folder, index) << "\"\nperiod = " << scenario.ledger_period
       << "\n";
   const char* repeats[] = {"redoable", "labelled", "irreversible"};
   const char* groups[] = {"all", "zone", "cell"};
   for (std::size_t i = 0; i < s.profiles.size(); ++i) {
     const Profile& p = s.profiles[i];
-    t << "[[profile]]\nname = \"" << day.profile_names[i] << "\"\ncontract = " << p.target_latency
+    t << "[[profile]]\nname = \"" << scenario.profile_names[i] << "\"\ncontract = " << p.target_latency
       << "\ncut_off = " << p.deadline << "\nbenefit = " << p.benefit << "\nrepeat = \""
       << repeats[static_cast<int>(p.idempotency)] << "\"\ngroup = \""
       << groups[static_cast<int>(p.dedup_scope)] << "\"\nlabel_window = " << p.dedup_window
@@ -324,7 +330,7 @@
   }
   for (std::size_t i = 0; i < s.plans.size(); ++i) {
     const Plan& p = s.plans[i];
-    t << "[[plan]]\nname = \"" << day.plan_names[i] << "\"\nusual = " << p.usual_rate
+    t << "[[plan]]\nname = \"" << scenario.plan_names[i] << "\"\nusual = " << p.usual_rate
       << "\nreservation = " << p.reservation << "\nlimit = " << p.limit << "\nburst = " << p.burst
       << "\nweight = " << p.weight << "\nbenefit_factor = " << p.benefit_factor << "\n";
   }
@@ -340,15 +346,15 @@
       << "\nfall_time = " << s.overload_window << "\ntip_multiple = " << s.overload_multiple
       << "\nsafe_units = " << s.safe_start_units << "\n";
   const char* operations[] = {"read", "write", "append"};
-  for (const config::Rule& r : day.matches) {
+  for (const config::Rule& r : scenario.matches) {
     t << "[[match]]\noperation = \"" << (r.operation ? operations[static_cast<int>(*r.operation)] : "any")
       << "\"\nleast_blocks = " << r.least_blocks << "\nmost_blocks = " << r.most_blocks << "\nprofile = \""
-      << day.profile_names[static_cast<std::size_t>(r.profile)] << "\"\n";
+      << scenario.profile_names[static_cast<std::size_t>(r.profile)] << "\"\n";
   }
-  const auto volumes = volumes_of(day);
+  const auto volumes = volume_layouts(scenario);
   for (std::size_t i = 0; i < volumes.size(); ++i) {
     t << "[[volumes]]\nfirst = " << i + 1 << "\nplan = \""
-      << day.plan_names[static_cast<std::size_t>(volumes[i].plan)] << "\"\ntenant = \""
+      << scenario.plan_names[static_cast<std::size_t>(volumes[i].plan)] << "\"\ntenant = \""
       << tenant_of(static_cast<int>(i)) << "\"\nhosts = " << volumes[i].schedulers.size() << "\n";
   }
   return t.str();
--- a/src/lab/day_rules.cpp
+++ b/src/lab/day_rules.cpp
@@ -1,11 +1,10 @@
-// Rules of a day: see day_rules.h.
 #include "lab/day_rules.h"
 
 namespace heronworks::lab {
 
-Ruled DayRules::of(const nvme::Sqe& sqe, const std::string& plan, std::uint32_t block_bytes,
-                   const std::string& client, const std::string& address) {
-  Ruled out;
+RuleResult ScenarioRules::evaluate(const nvme::Sqe& sqe, const std::string& plan, std::uint32_t block_bytes,
+                                   const std::string& client, const std::string& address) {
+  RuleResult out;
   if (!rules_ || rules_->set.size() == 0) return out;
   expr::Record record;
   const auto set = [&](const char* field, expr::Value v) {
@@ -32,17 +31,18 @@
     if (rule.reject_reason.empty()) {
       out.profile = rule.profile;
       expr::Value key;
-      if (rule.key && machine_.run(*rule.key, record, key) == expr::Failure::kNone) out.key = key.as_uint;
+      if (rule.key && machine_.run(*rule.key, record, key) == expr::Failure::kNone)
+        out.ordering_key = key.as_uint;
       return out;
     }
     from = m.rule + 1;
   }
 }
 
-std::shared_ptr<const config::Rules> DayRules::read(const std::string& text, const std::string& file,
-                                                    const std::vector<std::string>& profile_names,
-                                                    const std::vector<Profile>& profiles,
-                                                    config::Problems& problems) {
+std::shared_ptr<const config::Rules> ScenarioRules::read(const std::string& text, const std::string& file,
+                                                         const std::vector<std::string>& profile_names,
+                                                         const std::vector<Profile>& profiles,
+                                                         config::Problems& problems) {
   toml::table table;
   try {
     table = toml::parse(text);
--- a/src/lab/day_rules.h
+++ b/src/lab/day_rules.h
@@ -1,5 +1,5 @@
-// What a day's own rules make of a client's transaction, worked out beside the schedulers and apart from
-// them: the clients, the stand-in nodes and the checker take a transaction for what these say.
+// Evaluates the rules of a scenario for a client's transaction, independently of the schedulers. Clients,
+// stand-in nodes and the checker take the profile and the ordering key from here.
 #pragma once
 
 #include <memory>
@@ -10,21 +10,22 @@
 
 namespace heronworks::lab {
 
-struct Ruled {
-  int profile = -1;  // -1: no rule gives one
-  std::optional<std::uint64_t> key;
+struct RuleResult {
+  int profile = -1;  // -1: no rule sets one
+  std::optional<std::uint64_t> ordering_key;
 };
 
-class DayRules {
+class ScenarioRules {
  public:
-  explicit DayRules(std::shared_ptr<const config::Rules> rules) : rules_(std::move(rules)) {}
+  explicit ScenarioRules(std::shared_ptr<const config::Rules> rules) : rules_(std::move(rules)) {}
 
-  // As if no rule turned it back: one that is turned back needs no profile.
-  Ruled of(const nvme::Sqe& sqe, const std::string& plan, std::uint32_t block_bytes,
-           const std::string& client, const std::string& address);
+  // Evaluates the rules as if none of them rejected the transaction; a rejected transaction needs no
+  // profile.
+  RuleResult evaluate(const nvme::Sqe& sqe, const std::string& plan, std::uint32_t block_bytes,
+                      const std::string& client, const std::string& address);
 
-  // Reads [rules] of a day. A rule that gives a profile or a key must say the same to all who ask: it marks
-  // all that it holds for, by what does not change.
+  // Parses [rules] of a scenario. A rule that sets a profile or a key must depend only on properties that
+  // stay the same across retries and must apply to all matching transactions.
   static std::shared_ptr<const config::Rules> read(const std::string& text, const std::string& file,
                                                    const std::vector<std::string>& profile_names,
                                                    const std::vector<Profile>& profiles,
--- a/src/lab/disk.cpp
+++ b/src/lab/disk.cpp
@@ -1,4 +1,3 @@
-// Bytes and meter in mapped files: see disk.h.
 #include "lab/disk.h"
 
 #include <fcntl.h>
@@ -10,7 +9,7 @@
 
 namespace heronworks::lab {
 
-Mapping::Mapping(const std::string& path, std::size_t bytes) : bytes_(bytes) {
+MappedFile::MappedFile(const std::string& path, std::size_t bytes) : bytes_(bytes) {
   Fd fd(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644));
   if (!fd || ::ftruncate(fd.get(), static_cast<off_t>(bytes)) != 0)
     throw std::runtime_error("cannot map " + path);
@@ -19,62 +18,68 @@
   data_ = static_cast<std::uint8_t*>(p);
 }
 
-Mapping::~Mapping() { ::munmap(data_, bytes_); }
+MappedFile::~MappedFile() { ::munmap(data_, bytes_); }
 
-Disk::Disk(const std::string& path, const Day& day, int shard)
-    : day_(day),
+ShardStorage::ShardStorage(const std::string& path, const Scenario& scenario, int shard)
+    : scenario_(scenario),
       shard_(shard),
-      zones_here_(day.zones_a_volume / static_cast<std::uint32_t>(day.nodes)),
-      zone_bytes_(std::uint64_t{day.zone_blocks} * day.block_bytes),
-      table_((static_cast<std::size_t>(day.volumes()) * zones_here_ * 4 + 4095) / 4096 * 4096),
-      mapping_(path, table_ + static_cast<std::size_t>(day.volumes()) * zones_here_ * zone_bytes_) {}
+      zones_per_volume_(scenario.zones_per_volume / static_cast<std::uint32_t>(scenario.nodes)),
+      zone_bytes_(std::uint64_t{scenario.zone_blocks} * scenario.block_bytes),
+      blocks_offset_((static_cast<std::size_t>(scenario.volumes()) * zones_per_volume_ * 4 + 4095) / 4096 *
+                     4096),
+      file_(path, blocks_offset_ +
+                      static_cast<std::size_t>(scenario.volumes()) * zones_per_volume_ * zone_bytes_) {}
 
-std::optional<std::span<std::uint8_t>> Disk::at(int volume, std::uint64_t lba, std::uint32_t blocks) const {
-  const std::uint64_t zone = lba / day_.zone_blocks;
-  const auto nodes = static_cast<std::uint64_t>(day_.nodes);
-  if (volume < 0 || volume >= day_.volumes() || zone >= day_.zones_a_volume ||
+std::optional<std::span<std::uint8_t>> ShardStorage::blocks_at(int volume, std::uint64_t lba,
+                                                               std::uint32_t blocks) const {
+  const std::uint64_t zone = lba / scenario_.zone_blocks;
+  const auto nodes = static_cast<std::uint64_t>(scenario_.nodes);
+  if (volume < 0 || volume >= scenario_.volumes() || zone >= scenario_.zones_per_volume ||
       zone % nodes != static_cast<std::uint64_t>(shard_) ||
-      lba % day_.zone_blocks + blocks > day_.zone_blocks)
+      lba % scenario_.zone_blocks + blocks > scenario_.zone_blocks)
     return std::nullopt;
-  const std::uint64_t index = static_cast<std::uint64_t>(volume) * zones_here_ + zone / nodes;
-  return std::span(mapping_.data() + table_ + index * zone_bytes_ + lba % day_.zone_blocks * day_.block_bytes,
-                   std::size_t{blocks} * day_.block_bytes);
+  const std::uint64_t index = static_cast<std::uint64_t>(volume) * zones_per_volume_ + zone / nodes;
+  return std::span(file_.data() + blocks_offset_ + index * zone_bytes_ +
+                       lba % scenario_.zone_blocks * scenario_.block_bytes,
+                   std::size_t{blocks} * scenario_.block_bytes);
 }
 
-std::optional<std::uint64_t> Disk::append(int volume, std::uint32_t blocks, std::uint64_t hint) {
-  if (volume < 0 || volume >= day_.volumes() || blocks > day_.zone_blocks) return std::nullopt;
-  // The lower half of a volume's zones here is for writes in place.
-  const std::uint64_t first = zones_here_ / 2;
-  for (std::uint64_t i = 0; i < zones_here_ - first; ++i) {
-    const std::uint64_t own = first + (hint + i) % (zones_here_ - first);
-    std::uint8_t* place = mapping_.data() + (static_cast<std::uint64_t>(volume) * zones_here_ + own) * 4;
+std::optional<std::uint64_t> ShardStorage::append(int volume, std::uint32_t blocks, std::uint64_t hint) {
+  if (volume < 0 || volume >= scenario_.volumes() || blocks > scenario_.zone_blocks) return std::nullopt;
+  // The lower half of a volume's zones on this shard is reserved for in-place writes.
+  const std::uint64_t first = zones_per_volume_ / 2;
+  for (std::uint64_t i = 0; i < zones_per_volume_ - first; ++i) {
+    const std::uint64_t zone_index = first + (hint + i) % (zones_per_volume_ - first);
+    std::uint8_t* write_pointer =
+        file_.data() + (static_cast<std::uint64_t>(volume) * zones_per_volume_ + zone_index) * 4;
     std::uint32_t used = 0;
-    std::memcpy(&used, place, 4);
-    if (used + blocks > day_.zone_blocks) continue;
+    std::memcpy(&used, write_pointer, 4);
+    if (used + blocks > scenario_.zone_blocks) continue;
     const std::uint32_t next = used + blocks;
-    std::memcpy(place, &next, 4);
-    return (own * static_cast<std::uint64_t>(day_.nodes) + static_cast<std::uint64_t>(shard_)) *
-               day_.zone_blocks +
+    std::memcpy(write_pointer, &next, 4);
+    return (zone_index * static_cast<std::uint64_t>(scenario_.nodes) + static_cast<std::uint64_t>(shard_)) *
+               scenario_.zone_blocks +
            used;
   }
   return std::nullopt;
 }
 
-Meter::Meter(const std::string& path, const Day& day)
-    : mapping_(path, static_cast<std::size_t>(day.volumes()) * kSeconds * sizeof(Cell)) {}
+UsageMeter::UsageMeter(const std::string& path, const Scenario& scenario)
+    : file_(path, static_cast<std::size_t>(scenario.volumes()) * kRingSeconds * sizeof(Cell)) {}
 
-Meter::Cell& Meter::cell(int volume, long second) const {
-  return reinterpret_cast<Cell*>(mapping_.data())[static_cast<long>(volume) * kSeconds + (second % kSeconds)];
+UsageMeter::Cell& UsageMeter::cell(int volume, long second) const {
+  return reinterpret_cast<Cell*>(
+      file_.data())[static_cast<long>(volume) * kRingSeconds + (second % kRingSeconds)];
 }
 
-void Meter::add(int volume, double t, std::uint32_t units) {
+void UsageMeter::add(int volume, double t, std::uint32_t units) {
   const long second = static_cast<long>(t);
   Cell& c = cell(volume, second);
   if (c.second.exchange(second) != second) c.units = 0;
   c.units += units;
 }
 
-std::uint32_t Meter::in_second(int volume, long second) const {
+std::uint32_t UsageMeter::in_second(int volume, long second) const {
   const Cell& c = cell(volume, second);
   return c.second == second ? c.units.load() : 0;
 }
--- a/src/lab/disk.h
+++ b/src/lab/disk.h
@@ -1,5 +1,5 @@
-// The bytes of one shard, in a mapped sparse file, so that a process that replaces another finds them; and
-// the meter, a mapped file in which all nodes count what they served.
+// Storage of one shard and the usage meter of all nodes, in memory-mapped files that survive a restart of
+// the process.
 #pragma once
 
 #include <atomic>
@@ -12,13 +12,13 @@
 
 namespace heronworks::lab {
 
-class Mapping {
+class MappedFile {
  public:
-  Mapping(const std::string& path,
-          std::size_t bytes);  // created and sized at need; throws std::runtime_error
-  ~Mapping();
-  Mapping(const Mapping&) = delete;
-  Mapping& operator=(const Mapping&) = delete;
+  MappedFile(const std::string& path,
+             std::size_t bytes);  // creates the file if needed; throws std::runtime_error
+  ~MappedFile();
+  MappedFile(const MappedFile&) = delete;
+  MappedFile& operator=(const MappedFile&) = delete;
   std::uint8_t* data() const { return data_; }
 
  private:
@@ -26,38 +26,38 @@
   std::size_t bytes_ = 0;
 };
 
-class Disk {
+class ShardStorage {
  public:
-  Disk(const std::string& path, const Day& day, int shard);
-  // Whether volume and blocks lie on this shard; then where.
-  std::optional<std::span<std::uint8_t>> at(int volume, std::uint64_t lba, std::uint32_t blocks) const;
-  // Finds room for new blocks in a zone of this shard, from zone `hint` on, and takes it.
+  ShardStorage(const std::string& path, const Scenario& scenario, int shard);
+  // Returns the bytes of the blocks, or nothing if they are not on this shard.
+  std::optional<std::span<std::uint8_t>> blocks_at(int volume, std::uint64_t lba, std::uint32_t blocks) const;
+  // Appends to the first zone with enough room, starting with zone `hint`, and returns the first LBA.
   std::optional<std::uint64_t> append(int volume, std::uint32_t blocks, std::uint64_t hint);
 
  private:
-  const Day& day_;
+  const Scenario& scenario_;
   const int shard_;
-  const std::uint64_t zones_here_;  // of each volume
+  const std::uint64_t zones_per_volume_;  // on this shard
   const std::uint64_t zone_bytes_;
-  const std::size_t table_;  // bytes of the write pointers before the blocks
-  Mapping mapping_;
+  const std::size_t blocks_offset_;  // bytes of the zone write pointers, which precede the blocks
+  MappedFile file_;
 };
 
-// Units served for each volume in each second, by all nodes.
-class Meter {
+// Units served per volume and second, summed over all nodes.
+class UsageMeter {
  public:
-  Meter(const std::string& path, const Day& day);
+  UsageMeter(const std::string& path, const Scenario& scenario);
   void add(int volume, double t, std::uint32_t units);
   std::uint32_t in_second(int volume, long second) const;
 
  private:
-  static constexpr long kSeconds = 16;  // a ring: older ones are overwritten
+  static constexpr long kRingSeconds = 16;  // ring buffer
   struct Cell {
     std::atomic<std::int64_t> second;
     std::atomic<std::uint32_t> units;
   };
   Cell& cell(int volume, long second) const;
-  Mapping mapping_;
+  MappedFile file_;
 };
 
 }  // namespace heronworks::lab
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -1,4 +1,4 @@
-// heronworks-lab: stand-ins, clients, days and the verdict on them.
+// heronworks-lab: stand-in nodes and services, load generator, scenario runner and checker.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdio>
@@ -14,12 +14,12 @@
 
 namespace {
 
-struct Words {
-  std::string day;
+struct Arguments {
+  std::string scenario_file;
   std::uint64_t seed = 0;
   double start = 0;
   int number = 0;
-  int life = 0;
+  int incarnation = 0;
   std::uint16_t port = 0;
   std::vector<std::uint16_t> ports;
   std::string folder;
@@ -28,79 +28,87 @@
   std::vector<std::string> records;
   bool quiet = false;
   bool withhold_rules = false;
-  double lead = 1.5;
+  double startup_time = 1.5;
 };
 
-std::optional<lab::Day> read(const Words& w) {
+std::optional<lab::Scenario> read_scenario(const Arguments& arguments) {
   config::Problems problems;
-  auto day = lab::read_day(w.day, w.seed, problems);
+  auto scenario = lab::read_scenario(arguments.scenario_file, arguments.seed, problems);
   for (const auto& p : problems) std::fprintf(stderr, "%s\n", p.shown().c_str());
-  return day;
+  return scenario;
 }
 
-int node(const Words& w) {
-  const auto day = read(w);
-  if (!day) return 2;
+int run_node(const Arguments& arguments) {
+  const auto scenario = read_scenario(arguments);
+  if (!scenario) return 2;
   const MonotonicClock clock;
   Loop loop(clock);
-  lab::Recorder record(w.record);
-  lab::NodeOptions o{w.number, w.life, {"127.0.0.1", w.port}, w.start, w.folder};
-  lab::StandInNode n(loop, *day, o, record, [&] { loop.stop(); });
+  lab::Recorder record(arguments.record);
+  lab::NodeOptions options{arguments.number,
+                           arguments.incarnation,
+                           {"127.0.0.1", arguments.port},
+                           arguments.start,
+                           arguments.folder};
+  lab::StandInNode node(loop, *scenario, options, record, [&] { loop.stop(); });
   loop.on_signal(SIGTERM, [&] { loop.stop(); });
   loop.run();
   return 0;
 }
 
-int list(const Words& w) {
-  const auto day = read(w);
-  if (!day) return 2;
+int run_discovery(const Arguments& arguments) {
+  const auto scenario = read_scenario(arguments);
+  if (!scenario) return 2;
   const MonotonicClock clock;
   Loop loop(clock);
-  lab::Recorder record(w.record);
-  lab::StandInList l(loop, *day, {"127.0.0.1", w.port}, w.start, w.ports, record);
+  lab::Recorder record(arguments.record);
+  lab::StandInDiscovery discovery(loop, *scenario, {"127.0.0.1", arguments.port}, arguments.start,
+                                  arguments.ports, record);
   loop.on_signal(SIGTERM, [&] { loop.stop(); });
   loop.run();
   return 0;
 }
 
-int load(const Words& w) {
-  const auto day = read(w);
-  if (!day) return 2;
+int run_load(const Arguments& arguments) {
+  const auto scenario = read_scenario(arguments);
+  if (!scenario) return 2;
   const MonotonicClock clock;
   Loop loop(clock);
-  lab::Recorder record(w.record);
-  lab::Load l(loop, *day, w.start, w.ports, record, [&] { loop.stop(); });
+  lab::Recorder record(arguments.record);
+  lab::LoadGenerator generator(loop, *scenario, arguments.start, arguments.ports, record,
+                               [&] { loop.stop(); });
   loop.run();
   return 0;
 }
 
-int play(const Words& w) {
-  const auto day = read(w);
-  if (!day) return 2;
-  lab::RunOptions o;
-  o.self = std::filesystem::read_symlink("/proc/self/exe").string();
-  o.scheduler = w.scheduler.empty() ? std::filesystem::path(o.self).replace_filename("heronworks").string()
-                                    : w.scheduler;
-  o.folder = w.folder;
-  o.quiet = w.quiet;
-  o.lead = w.lead;
-  o.withhold_rules = w.withhold_rules;
+int run_scenario(const Arguments& arguments) {
+  const auto scenario = read_scenario(arguments);
+  if (!scenario) return 2;
+  lab::RunOptions options;
+  options.self = std::filesystem::read_symlink("/proc/self/exe").string();
+  options.scheduler = arguments.scheduler.empty()
+                          ? std::filesystem::path(options.self).replace_filename("heronworks").string()
+                          : arguments.scheduler;
+  options.folder = arguments.folder;
+  options.quiet = arguments.quiet;
+  options.startup_time = arguments.startup_time;
+  options.withhold_rules = arguments.withhold_rules;
   std::printf("%s: %g s, %d schedulers, %d nodes, %d volumes, seed %llu; stand-ins on one machine\n",
-              day->name.c_str(), day->seconds, day->schedulers, day->nodes, day->volumes(),
-              static_cast<unsigned long long>(day->seed));
+              scenario->name.c_str(), scenario->seconds, scenario->schedulers, scenario->nodes,
+              scenario->volumes(), static_cast<unsigned long long>(scenario->seed));
   std::fflush(stdout);
-  const auto result = lab::run_day(*day, o);
+  const auto result = lab::run_scenario(*scenario, options);
   std::printf("\n%s", result.verdict.table(result.start).c_str());
-  if (result.bills) std::printf("\n%s\n%s", result.bills->statement.c_str(), result.bills->line().c_str());
-  for (const auto& f : result.faults) std::printf("fault: %s\n", f.c_str());
-  std::printf("%s\n", result.good() ? "all rules kept" : "NOT kept");
-  return result.good() ? 0 : 1;
+  if (result.billing)
+    std::printf("\n%s\n%s", result.billing->statement.c_str(), result.billing->summary().c_str());
+  for (const auto& f : result.failures) std::printf("fault: %s\n", f.c_str());
+  std::printf("%s\n", result.passed() ? "all rules kept" : "NOT kept");
+  return result.passed() ? 0 : 1;
 }
 
-int verdict(const Words& w) {
-  const auto v = lab::judge(lab::read_records(w.records));
-  std::printf("%s", v.table(0).c_str());
-  return v.kept() ? 0 : 1;
+int run_verdict(const Arguments& arguments) {
+  const auto verdict = lab::check_record(lab::read_records(arguments.records));
+  std::printf("%s", verdict.table(0).c_str());
+  return verdict.passed() ? 0 : 1;
 }
 
 }  // namespace
@@ -108,60 +116,65 @@
 int main(int argc, char** argv) {
   CLI::App app{"heronworks-lab: stand-ins, clients, days and the verdict on them"};
   app.require_subcommand(1);
-  Words w;
-  const auto common = [&](CLI::App* c) {
-    c->add_option("day", w.day, "day file, TOML")->required()->check(CLI::ExistingFile);
-    c->add_option("--seed", w.seed, "in place of the file's");
+  Arguments arguments;
+  const auto with_scenario_options = [&](CLI::App* c) {
+    c->add_option("day", arguments.scenario_file, "day file, TOML")->required()->check(CLI::ExistingFile);
+    c->add_option("--seed", arguments.seed, "in place of the file's");
     return c;
   };
-  const auto part = [&](CLI::App* c) {
-    c->add_option("--start", w.start, "of the day, s of CLOCK_MONOTONIC")->required();
-    c->add_option("--record", w.record, "file to write to")->required();
+  const auto with_process_options = [&](CLI::App* c) {
+    c->add_option("--start", arguments.start, "of the day, s of CLOCK_MONOTONIC")->required();
+    c->add_option("--record", arguments.record, "file to write to")->required();
     return c;
   };
-  auto* n = part(common(app.add_subcommand("node", "a stand-in disk server")));
-  n->add_option("--number", w.number, "of the node")->required();
-  n->add_option("--life", w.life, "how many processes the node has had");
-  n->add_option("--port", w.port, "to listen on")->required();
-  n->add_option("--folder", w.folder, "of the day")->required();
-  auto* l = part(common(app.add_subcommand("list", "a stand-in node list")));
-  l->add_option("--port", w.port, "to listen on")->required();
-  l->add_option("--nodes", w.ports, "ports of the nodes")->required()->delimiter(',');
-  auto* c = part(common(app.add_subcommand("load", "clients")));
-  c->add_option("--schedulers", w.ports, "ports of the schedulers")->required()->delimiter(',');
-  auto* d = common(app.add_subcommand("day", "play a day: all processes, the script, the verdict"));
-  d->add_option("--folder", w.folder, "keep records, logs and configurations here");
-  d->add_option("--scheduler", w.scheduler, "program that serves, in place of heronworks");
-  d->add_option("--lead", w.lead, "s to let the processes start");
-  d->add_flag("--quiet", w.quiet, "no line a second");
-  d->add_flag("--withhold-rules", w.withhold_rules, "do not give the day's rules to the schedulers");
-  lab::ReceiverOptions receiver;
-  auto* r = app.add_subcommand("receiver", "a stand-in that receives exports of ledgers");
-  r->add_option("--port", receiver.listen.port, "to listen on")->required();
-  r->add_option("--folder", receiver.folder, "for what is stored")->required();
-  r->add_option("--seed", receiver.seed);
-  r->add_option("--lose", receiver.lose_answer, "part of answers lost, with the connection");
-  r->add_option("--twice", receiver.answer_twice, "part of answers told twice");
-  r->add_option("--late", receiver.answer_late, "part of answers that come late");
-  r->add_option("--crash", receiver.crash, "part of messages at which it dies");
-  auto* v = app.add_subcommand("verdict", "judge records");
-  v->add_option("records", w.records, "files")->required()->check(CLI::ExistingFile);
+  auto* node =
+      with_process_options(with_scenario_options(app.add_subcommand("node", "a stand-in disk server")));
+  node->add_option("--number", arguments.number, "of the node")->required();
+  node->add_option("--life", arguments.incarnation, "how many processes the node has had");
+  node->add_option("--port", arguments.port, "to listen on")->required();
+  node->add_option("--folder", arguments.folder, "of the day")->required();
+  auto* discovery =
+      with_process_options(with_scenario_options(app.add_subcommand("list", "a stand-in node list")));
+  discovery->add_option("--port", arguments.port, "to listen on")->required();
+  discovery->add_option("--nodes", arguments.ports, "ports of the nodes")->required()->delimiter(',');
+  auto* load = with_process_options(with_scenario_options(app.add_subcommand("load", "clients")));
+  load->add_option("--schedulers", arguments.ports, "ports of the schedulers")->required()->delimiter(',');
+  auto* day =
+      with_scenario_options(app.add_subcommand("day", "play a day: all processes, the script, the verdict"));
+  day->add_option("--folder", arguments.folder, "keep records, logs and configurations here");
+  day->add_option("--scheduler", arguments.scheduler, "program that serves, in place of heronworks");
+  day->add_option("--lead", arguments.startup_time, "s to let the processes start");
+  day->add_flag("--quiet", arguments.quiet, "no line a second");
+  day->add_flag("--withhold-rules", arguments.withhold_rules,
+                "do not give the day's rules to the schedulers");
+  lab::ReceiverOptions receiver_options;
+  auto* receiver = app.add_subcommand("receiver", "a stand-in that receives exports of ledgers");
+  receiver->add_option("--port", receiver_options.listen.port, "to listen on")->required();
+  receiver->add_option("--folder", receiver_options.folder, "for what is stored")->required();
+  receiver->add_option("--seed", receiver_options.seed);
+  receiver->add_option("--lose", receiver_options.lost_reply_fraction,
+                       "part of answers lost, with the connection");
+  receiver->add_option("--twice", receiver_options.duplicate_reply_fraction, "part of answers told twice");
+  receiver->add_option("--late", receiver_options.late_reply_fraction, "part of answers that come late");
+  receiver->add_option("--crash", receiver_options.crash_fraction, "part of messages at which it dies");
+  auto* verdict = app.add_subcommand("verdict", "judge records");
+  verdict->add_option("records", arguments.records, "files")->required()->check(CLI::ExistingFile);
   CLI11_PARSE(app, argc, argv);
   try {
-    if (n->parsed()) return node(w);
-    if (l->parsed()) return list(w);
-    if (c->parsed()) return load(w);
-    if (d->parsed()) return play(w);
-    if (r->parsed()) {
-      receiver.listen.host = "127.0.0.1";
+    if (node->parsed()) return run_node(arguments);
+    if (discovery->parsed()) return run_discovery(arguments);
+    if (load->parsed()) return run_load(arguments);
+    if (day->parsed()) return run_scenario(arguments);
+    if (receiver->parsed()) {
+      receiver_options.listen.host = "127.0.0.1";
       const MonotonicClock clock;
       Loop loop(clock);
-      const lab::Receiver one(loop, receiver);
+      const lab::Receiver stand_in(loop, receiver_options);
       loop.on_signal(SIGTERM, [&] { loop.stop(); });
       loop.run();
       return 0;
     }
-    return verdict(w);
+    return run_verdict(arguments);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "heronworks-lab: %s\n", error.what());
     return 1;
--- a/src/lab/receiver.cpp
+++ b/src/lab/receiver.cpp
@@ -1,4 +1,3 @@
-// A stand-in receiver: see receiver.h.
 #include "lab/receiver.h"
 
 #include <unistd.h>
@@ -12,7 +11,7 @@
 
 class Receiver::Connection final : public StreamHandler, public ledger::ReceiverHost {
  public:
-  Connection(Receiver& r, Fd fd) : r_(r), stream_(r.loop_, std::move(fd), *this) {}
+  Connection(Receiver& r, Fd fd) : receiver_(r), stream_(r.loop_, std::move(fd), *this) {}
   bool open() const { return stream_.open(); }
 
   std::size_t on_received(std::span<const std::uint8_t> bytes) override {
@@ -24,15 +23,16 @@
   void on_closed(const std::string&) override {}
 
   void take(std::uint64_t offset, const std::string& bytes) override {
-    now_->bytes.replace(offset, std::string::npos, bytes);
+    current_->bytes.replace(offset, std::string::npos, bytes);
   }
-  void drop() override { now_->bytes.clear(); }
+  void drop() override { current_->bytes.clear(); }
   void store() override {
-    // The name is the identity: a second file of one cannot be.
-    if (store::write_file_atomically(r_.files_, r_.options_.folder, id_, store::byte_view(now_->bytes)) != 0)
+    // The file name is the identity, so that an export is stored at most once.
+    if (store::write_file_atomically(receiver_.files_, receiver_.options_.folder, id_,
+                                     store::byte_view(current_->bytes)) != 0)
       return say_refused("cannot be stored");
-    r_.maybe_crash();
-    now_->receipt->stored(*this);
+    receiver_.maybe_crash();
+    current_->receipt->stored(*this);
   }
   void say_want(std::uint64_t offset) override {
     ledger::wire::Frame f;
@@ -42,7 +42,7 @@
   }
   void say_stored() override {
     std::string content;
-    if (store::read_file(r_.files_, r_.options_.folder + "/" + id_, content) != 0)
+    if (store::read_file(receiver_.files_, receiver_.options_.folder + "/" + id_, content) != 0)
       return say_refused("cannot be read");
     ledger::wire::Frame f;
     f.mutable_stored()->set_id(id_);
@@ -58,25 +58,25 @@
 
  private:
   void message(const ledger::wire::Frame& f) {
-    r_.maybe_crash();
+    receiver_.maybe_crash();
     id_ = f.has_offer() ? f.offer().id() : f.has_piece() ? f.piece().id() : f.done().id();
     if (id_.empty() || id_.find_first_not_of("0123456789abcdefcsvrecords-") != std::string::npos)
       return say_refused("no identity");
-    const auto [at, fresh] = r_.incoming_.try_emplace(id_);
-    now_ = &at->second;
-    if (fresh) {
+    const auto [at, inserted] = receiver_.incoming_.try_emplace(id_);
+    current_ = &at->second;
+    if (inserted) {
       std::string content;
-      now_->receipt = std::make_unique<ledger::Receipt>(
-          store::read_file(r_.files_, r_.options_.folder + "/" + id_, content) == 0);
+      current_->receipt = std::make_unique<ledger::Receipt>(
+          store::read_file(receiver_.files_, receiver_.options_.folder + "/" + id_, content) == 0);
     }
     if (f.has_offer()) {
-      now_->digest = f.offer().digest();
-      now_->receipt->offered(*this, f.offer().size());
+      current_->digest = f.offer().digest();
+      current_->receipt->offered(*this, f.offer().size());
     } else if (f.has_piece()) {
-      now_->receipt->piece(*this, f.piece().offset(), f.piece().data());
+      current_->receipt->piece(*this, f.piece().offset(), f.piece().data());
     } else if (f.has_done()) {
-      const auto digest = ledger::chained(ledger::Digest{}, now_->bytes);
-      now_->receipt->done(*this, now_->digest == ledger::text(digest));
+      const auto digest = ledger::chained(ledger::Digest{}, current_->bytes);
+      current_->receipt->done(*this, current_->digest == ledger::text(digest));
     }
   }
   void send(const ledger::wire::Frame& f) {
@@ -84,32 +84,32 @@
     const auto out = [this, bytes] {
       if (stream_.open()) stream_.send({reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()});
     };
-    const double chance = r_.draw();
-    const ReceiverOptions& o = r_.options_;
-    if (chance < o.lose_answer) return stream_.close();
-    if (chance < o.lose_answer + o.answer_late) {
-      r_.loop_.run_at(r_.loop_.now() + kLate, out);
+    const double chance = receiver_.draw();
+    const ReceiverOptions& o = receiver_.options_;
+    if (chance < o.lost_reply_fraction) return stream_.close();
+    if (chance < o.lost_reply_fraction + o.late_reply_fraction) {
+      receiver_.loop_.run_at(receiver_.loop_.now() + kReplyDelay, out);
       return;
     }
     out();
-    if (chance < o.lose_answer + o.answer_late + o.answer_twice) out();
+    if (chance < o.lost_reply_fraction + o.late_reply_fraction + o.duplicate_reply_fraction) out();
   }
 
-  Receiver& r_;
+  Receiver& receiver_;
   Stream stream_;
   std::string id_;
-  Incoming* now_ = nullptr;
+  Incoming* current_ = nullptr;
 };
 
 Receiver::Receiver(Loop& loop, const ReceiverOptions& options)
     : loop_(loop), options_(options), random_(options.seed + 1) {
-  random_.discard(16);  // the first of small seeds are small
+  random_.discard(16);  // the first values of small seeds are small
   if (files_.create_directories(options.folder) != 0)
     throw std::runtime_error("cannot make " + options.folder);
   Fd fd = listen_on(options.listen);
   if (!fd) throw std::runtime_error("cannot listen on " + options.listen.to_string());
   listener_ = std::make_unique<Listener>(loop, std::move(fd), [this](Fd accepted) {
-    // Closed ones stay until the end: late answers may still name them; a stand-in sees few.
+    // Closed connections stay until the end because delayed replies may still refer to them.
     connections_.push_back(std::make_unique<Connection>(*this, std::move(accepted)));
   });
 }
@@ -119,7 +119,7 @@
 double Receiver::draw() { return static_cast<double>(random_() - 1) / 2147483646.0; }
 
 void Receiver::maybe_crash() {
-  if (draw() < options_.crash) ::_exit(9);
+  if (draw() < options_.crash_fraction) ::_exit(9);
 }
 
 }  // namespace heronworks::lab
--- a/src/lab/receiver.h
+++ b/src/lab/receiver.h
@@ -1,5 +1,5 @@
-// A stand-in for the members' billing system: receives exports, stores each identity once, and behaves badly
-// on purpose. What is stored is a file under its identity, made by write, sync, rename, sync.
+// A stand-in for an external billing system: receives ledger exports, stores each export once under its
+// identity (write, sync, rename, sync) and injects lost, late and duplicated replies and crashes.
 #pragma once
 
 #include <map>
@@ -16,10 +16,10 @@
   Address listen;
   std::string folder;
   unsigned seed = 1;
-  double lose_answer = 0;  // part of its answers that are lost, with the connection
-  double answer_twice = 0;
-  double answer_late = 0;  // part that come kLate s later
-  double crash = 0;        // part of messages at which the process dies, before or after its work
+  double lost_reply_fraction = 0;  // fraction of replies lost together with the connection
+  double duplicate_reply_fraction = 0;
+  double late_reply_fraction = 0;  // fraction of replies delayed by kReplyDelay
+  double crash_fraction = 0;       // probability of a crash before or after handling a message
 };
 
 class Receiver {
@@ -38,12 +38,12 @@
   double draw();
   void maybe_crash();
 
-  static constexpr double kLate = 0.3;  // s
+  static constexpr double kReplyDelay = 0.3;  // s
   Loop& loop_;
   const ReceiverOptions options_;
   store::PosixFileSystem files_;
   std::minstd_rand random_;
-  std::map<std::string, Incoming> incoming_;  // by identity; as many as were offered since the start
+  std::map<std::string, Incoming> incoming_;  // by identity; grows with the exports offered since the start
   std::vector<std::unique_ptr<Connection>> connections_;
   std::unique_ptr<Listener> listener_;
 };
--- a/src/lab/record.cpp
+++ b/src/lab/record.cpp
@@ -1,4 +1,3 @@
-// The record: see record.h.
 #include "lab/record.h"
 
 #include <algorithm>
@@ -9,48 +8,48 @@
 namespace heronworks::lab {
 namespace {
 
-constexpr std::array kNames = {"figures", "sent",    "answer",  "lost",     "left",     "unreached",
-                               "got",     "replied", "ran",     "silenced", "up",       "fell",
-                               "told",    "killed",  "started", "stopped",  "continued"};
+constexpr std::array kEventNames = {"figures", "sent",    "answer",  "lost",     "left",     "unreached",
+                                    "got",     "replied", "ran",     "silenced", "up",       "fell",
+                                    "told",    "killed",  "started", "stopped",  "continued"};
 
 // Calls f(name, member, default) for each field.
 template <typename E, typename F>
 void fields(E& e, F f) {
   const Event none;
-  f("label", e.label, none.label);
+  f("label", e.idempotency_key, none.idempotency_key);
   f("try", e.attempt, none.attempt);
-  f("via", e.via, none.via);
+  f("via", e.scheduler, none.scheduler);
   f("client", e.client, none.client);
   f("dispatch", e.dispatch, none.dispatch);
   f("node", e.node, none.node);
   f("shard", e.shard, none.shard);
-  f("life", e.life, none.life);
+  f("life", e.incarnation, none.incarnation);
   f("volume", e.volume, none.volume);
   f("profile", e.profile, none.profile);
   f("plan", e.plan, none.plan);
   f("lba", e.lba, none.lba);
   f("blocks", e.blocks, none.blocks);
   f("units", e.units, none.units);
-  f("left", e.left, none.left);
+  f("left", e.time_left, none.time_left);
   f("cost", e.cost, none.cost);
-  f("frac", e.frac, none.frac);
+  f("frac", e.capacity_fraction, none.capacity_fraction);
   f("hash", e.hash, none.hash);
   f("write", e.write, none.write);
   f("outcome", e.outcome, none.outcome);
   f("text", e.text, none.text);
-  f("nodes", e.nodes, none.nodes);
-  f("since", e.since, none.since);
-  f("key", e.key, none.key);
-  f("first", e.first, none.first);
+  f("nodes", e.ready_nodes, none.ready_nodes);
+  f("since", e.earliest_time, none.earliest_time);
+  f("key", e.ordering_key, none.ordering_key);
+  f("first", e.first_sent_at, none.first_sent_at);
 }
 
 }  // namespace
 
-const char* name(Kind kind) { return kNames[static_cast<std::size_t>(kind)]; }
+const char* name(EventKind kind) { return kEventNames[static_cast<std::size_t>(kind)]; }
 
 std::string Event::line() const {
   nlohmann::ordered_json j;
-  j["t"] = t;
+  j["t"] = time;
   j["kind"] = name(kind);
   fields(*this, [&](const char* field, const auto& value, const auto& none) {
     if (value != none) j[field] = value;
@@ -63,11 +62,11 @@
   const auto j = nlohmann::json::parse(line, nullptr, false);
   if (!j.is_object()) return reason = "not a JSON object", false;
   try {
-    event.t = j.at("t").get<double>();
+    event.time = j.at("t").get<double>();
     const auto kind = j.at("kind").get<std::string>();
-    const auto at = std::find(kNames.begin(), kNames.end(), kind);
-    if (at == kNames.end()) return reason = "unknown kind " + kind, false;
-    event.kind = static_cast<Kind>(at - kNames.begin());
+    const auto at = std::find(kEventNames.begin(), kEventNames.end(), kind);
+    if (at == kEventNames.end()) return reason = "unknown kind " + kind, false;
+    event.kind = static_cast<EventKind>(at - kEventNames.begin());
     fields(event, [&](const char* key, auto& value, const auto&) {
       if (const auto f = j.find(key); f != j.end()) f->get_to(value);
     });
@@ -79,7 +78,7 @@
 
 Recorder::Recorder(const std::string& path) : file_(std::fopen(path.c_str(), "a"), std::fclose) {
   if (!file_) throw std::runtime_error("cannot write " + path);
-  // A line is in the file before the next is written, so that a killed process tears at most its last.
+  // Line buffering: a killed process leaves at most one incomplete line.
   std::setvbuf(file_.get(), nullptr, _IOLBF, 1 << 16);
 }
 
@@ -106,7 +105,8 @@
       }
     }
   }
-  std::stable_sort(events.begin(), events.end(), [](const Event& a, const Event& b) { return a.t < b.t; });
+  std::stable_sort(events.begin(), events.end(),
+                   [](const Event& a, const Event& b) { return a.time < b.time; });
   return events;
 }
 
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -1,4 +1,3 @@
-// Plays a day on sockets: see runner.h.
 #include "lab/runner.h"
 
 #include <fcntl.h>
@@ -18,13 +17,13 @@
 namespace heronworks::lab {
 namespace {
 
-constexpr double kDrainTime = 10;  // s that a scheduler has after SIGTERM
+constexpr double kSchedulerExitTimeout = 10;  // s that schedulers have to exit after SIGTERM
 
-// Ports outside the range that systems give to clients, each tried before.
+// Returns free ports below the ephemeral range.
 std::vector<std::uint16_t> free_ports(std::size_t count) {
   std::vector<std::uint16_t> ports;
   unsigned at = 12000 + static_cast<unsigned>(::getpid()) * 37 % 18000;
-  for (int tries = 0; ports.size() < count && tries < 20000; ++tries) {
+  for (int attempts = 0; ports.size() < count && attempts < 20000; ++attempts) {
     at = at >= 30000 ? 12000 : at + 1;
     if (listen_on({"127.0.0.1", static_cast<std::uint16_t>(at)}))
       ports.push_back(static_cast<std::uint16_t>(at));
@@ -33,14 +32,14 @@
   return ports;
 }
 
-class Run {
+class ScenarioRunner {
  public:
-  Run(const Day& day, const RunOptions& options)
-      : day_(day),
+  ScenarioRunner(const Scenario& scenario, const RunOptions& options)
+      : scenario_(scenario),
         options_(options),
         loop_(clock_),
         folder_(options.folder),
-        ports_(free_ports(static_cast<std::size_t>(day.nodes + day.schedulers + 1))) {
+        ports_(free_ports(static_cast<std::size_t>(scenario.nodes + scenario.schedulers + 1))) {
     if (folder_.empty()) {
       std::string pattern = (std::filesystem::temp_directory_path() / "heronworks-day-XXXXXX").string();
       if (!::mkdtemp(pattern.data())) throw std::runtime_error("cannot make a folder");
@@ -48,16 +47,16 @@
     } else {
       std::filesystem::create_directories(folder_);
     }
-    start_ = loop_.now() + options.lead;
+    start_ = loop_.now() + options.startup_time;
     record_ = std::make_unique<Recorder>(folder_ + "/day.record");
     Event e;
-    e.t = loop_.now();
-    e.kind = Kind::kFigures;
-    e.text = figures_of(day, start_).text();
+    e.time = loop_.now();
+    e.kind = EventKind::kParameters;
+    e.text = checker_parameters(scenario, start_).text();
     record_->write(e);
   }
 
-  ~Run() {
+  ~ScenarioRunner() {
     for (const auto& [pid, name] : children_) {
       ::kill(pid, SIGKILL);
       ::waitpid(pid, nullptr, 0);
@@ -68,57 +67,58 @@
     }
   }
 
-  RunResult play() {
+  RunResult run() {
     loop_.on_signal(SIGCHLD, [this] { reap(); });
-    for (int n = 0; n < day_.nodes; ++n) {
-      const auto lives = lives_of(day_, n);
-      for (std::size_t i = 0; i < lives.size(); ++i) {
-        const int life = static_cast<int>(i);
-        if (i == 0) start_node(n, life);
-        else loop_.run_at(start_ + lives[i].from, [this, n, life] { start_node(n, life); });
-        if (lives[i].to < 1e8) loop_.run_at(start_ + lives[i].to, [this, n] { end(node_[n]); });
+    for (int n = 0; n < scenario_.nodes; ++n) {
+      const auto lifetimes = node_lifetimes(scenario_, n);
+      for (std::size_t i = 0; i < lifetimes.size(); ++i) {
+        const int incarnation = static_cast<int>(i);
+        if (i == 0) start_node(n, incarnation);
+        else loop_.run_at(start_ + lifetimes[i].from, [this, n, incarnation] { start_node(n, incarnation); });
+        if (lifetimes[i].to < 1e8)
+          loop_.run_at(start_ + lifetimes[i].to, [this, n] { kill_process(node_pids_[n]); });
       }
     }
     std::string ports;
-    for (int n = 0; n < day_.nodes; ++n) ports += (n > 0 ? "," : "") + std::to_string(node_port(n));
-    start("list", {options_.self, "list", day_.file, "--seed", std::to_string(day_.seed), "--port",
+    for (int n = 0; n < scenario_.nodes; ++n) ports += (n > 0 ? "," : "") + std::to_string(node_port(n));
+    spawn("list", {options_.self, "list", scenario_.file, "--seed", std::to_string(scenario_.seed), "--port",
                    std::to_string(list_port()), "--start", std::to_string(start_), "--nodes", ports,
                    "--record", folder_ + "/list.record"});
-    std::string doors;
-    for (int s = 0; s < day_.schedulers; ++s) {
-      doors += (s > 0 ? "," : "") + std::to_string(door(s));
+    std::string scheduler_ports;
+    for (int s = 0; s < scenario_.schedulers; ++s) {
+      scheduler_ports += (s > 0 ? "," : "") + std::to_string(scheduler_port(s));
       std::ofstream(folder_ + "/scheduler-" + std::to_string(s) + ".toml")
-          << gateway_toml(day_, s, door(s), list_port(), folder_)
-          << (options_.withhold_rules ? "" : day_.rules);
+          << gateway_toml(scenario_, s, scheduler_port(s), list_port(), folder_)
+          << (options_.withhold_rules ? "" : scenario_.rules_toml);
       start_scheduler(s);
     }
-    for (const Act& a : day_.acts) {
-      if (a.trouble == Trouble::kSchedulerKilled) {
-        loop_.run_at(start_ + a.from, [this, s = a.target] {
-          say(Kind::kKilled, s);
-          end(scheduler_[s]);
+    for (const FaultEvent& fault : scenario_.fault_events) {
+      if (fault.kind == FaultKind::kSchedulerKilled) {
+        loop_.run_at(start_ + fault.from, [this, s = fault.target] {
+          record_scheduler_event(EventKind::kSchedulerKilled, s);
+          kill_process(scheduler_pids_[s]);
         });
-        loop_.run_at(start_ + a.to, [this, s = a.target] { start_scheduler(s); });
-      } else if (a.trouble == Trouble::kDiskFull) {
-        // No file of that process may grow: to it, that is a full disk.
-        loop_.run_at(start_ + a.from, [this, s = a.target] { let_files_grow(s, false); });
-        loop_.run_at(start_ + a.to, [this, s = a.target] { let_files_grow(s, true); });
-      } else if (a.trouble == Trouble::kSchedulerStopped) {
-        loop_.run_at(start_ + a.from, [this, s = a.target] {
-          say(Kind::kStopped, s);
-          if (scheduler_[s] > 0) ::kill(scheduler_[s], SIGSTOP);
+        loop_.run_at(start_ + fault.to, [this, s = fault.target] { start_scheduler(s); });
+      } else if (fault.kind == FaultKind::kDiskFull) {
+        // A file size limit of the process stands in for a full disk.
+        loop_.run_at(start_ + fault.from, [this, s = fault.target] { set_file_growth_allowed(s, false); });
+        loop_.run_at(start_ + fault.to, [this, s = fault.target] { set_file_growth_allowed(s, true); });
+      } else if (fault.kind == FaultKind::kSchedulerStopped) {
+        loop_.run_at(start_ + fault.from, [this, s = fault.target] {
+          record_scheduler_event(EventKind::kSchedulerStopped, s);
+          if (scheduler_pids_[s] > 0) ::kill(scheduler_pids_[s], SIGSTOP);
         });
-        loop_.run_at(start_ + a.to, [this, s = a.target] {
-          if (scheduler_[s] > 0) ::kill(scheduler_[s], SIGCONT);
-          say(Kind::kContinued, s);
+        loop_.run_at(start_ + fault.to, [this, s = fault.target] {
+          if (scheduler_pids_[s] > 0) ::kill(scheduler_pids_[s], SIGCONT);
+          record_scheduler_event(EventKind::kSchedulerContinued, s);
         });
       }
     }
-    load_ =
-        start("load", {options_.self, "load", day_.file, "--seed", std::to_string(day_.seed), "--start",
-                       std::to_string(start_), "--schedulers", doors, "--record", folder_ + "/load.record"});
-    loop_.run_at(start_ + day_.seconds + 30, [this] {
-      result_.faults.push_back("the day did not end");
+    load_pid_ = spawn("load", {options_.self, "load", scenario_.file, "--seed",
+                               std::to_string(scenario_.seed), "--start", std::to_string(start_),
+                               "--schedulers", scheduler_ports, "--record", folder_ + "/load.record"});
+    loop_.run_at(start_ + scenario_.seconds + 30, [this] {
+      result_.failures.push_back("the day did not end");
       loop_.stop();
     });
     loop_.run();
@@ -129,50 +129,50 @@
     }
     std::sort(files.begin(), files.end());
     const auto events = read_records(files);
-    result_.verdict = judge(events);
-    if (day_.ledger_period > 0) result_.bills = check_bills(day_, events, folder_);
+    result_.verdict = check_record(events);
+    if (scenario_.ledger_period > 0) result_.billing = check_billing(scenario_, events, folder_);
     return std::move(result_);
   }
 
  private:
   std::uint16_t node_port(int n) const { return ports_[static_cast<std::size_t>(n)]; }
-  std::uint16_t door(int s) const { return ports_[static_cast<std::size_t>(day_.nodes + s)]; }
+  std::uint16_t scheduler_port(int s) const { return ports_[static_cast<std::size_t>(scenario_.nodes + s)]; }
   std::uint16_t list_port() const { return ports_.back(); }
 
-  void say(Kind kind, int scheduler) {
+  void record_scheduler_event(EventKind kind, int scheduler) {
     Event e;
-    e.t = loop_.now();
+    e.time = loop_.now();
     e.kind = kind;
-    e.via = scheduler;
+    e.scheduler = scheduler;
     record_->write(e);
   }
 
-  void let_files_grow(int s, bool may) {
-    if (scheduler_[s] <= 0) return;
+  void set_file_growth_allowed(int s, bool may) {
+    if (scheduler_pids_[s] <= 0) return;
     rlimit limit{};
-    if (::prlimit(scheduler_[s], RLIMIT_FSIZE, nullptr, &limit) != 0) return;
+    if (::prlimit(scheduler_pids_[s], RLIMIT_FSIZE, nullptr, &limit) != 0) return;
     limit.rlim_cur = may ? limit.rlim_max : 1;
-    ::prlimit(scheduler_[s], RLIMIT_FSIZE, &limit, nullptr);
+    ::prlimit(scheduler_pids_[s], RLIMIT_FSIZE, &limit, nullptr);
   }
 
-  void start_node(int n, int life) {
-    node_[n] = start("node " + std::to_string(n),
-                     {options_.self, "node", day_.file, "--seed", std::to_string(day_.seed), "--number",
-                      std::to_string(n), "--life", std::to_string(life), "--port",
-                      std::to_string(node_port(n)), "--start", std::to_string(start_), "--folder", folder_,
-                      "--record", folder_ + "/node-" + std::to_string(n) + ".record"});
+  void start_node(int n, int incarnation) {
+    node_pids_[n] = spawn("node " + std::to_string(n),
+                          {options_.self, "node", scenario_.file, "--seed", std::to_string(scenario_.seed),
+                           "--number", std::to_string(n), "--life", std::to_string(incarnation), "--port",
+                           std::to_string(node_port(n)), "--start", std::to_string(start_), "--folder",
+                           folder_, "--record", folder_ + "/node-" + std::to_string(n) + ".record"});
   }
 
   void start_scheduler(int s) {
-    scheduler_[s] =
-        start("scheduler " + std::to_string(s),
+    scheduler_pids_[s] =
+        spawn("scheduler " + std::to_string(s),
               {options_.scheduler, "serve", folder_ + "/scheduler-" + std::to_string(s) + ".toml"});
-    say(Kind::kStarted, s);
+    record_scheduler_event(EventKind::kSchedulerStarted, s);
   }
 
-  pid_t start(const std::string& name, std::vector<std::string> words) {
+  pid_t spawn(const std::string& name, std::vector<std::string> arguments) {
     std::vector<char*> argv;
-    for (std::string& w : words) argv.push_back(w.data());
+    for (std::string& w : arguments) argv.push_back(w.data());
     argv.push_back(nullptr);
     const pid_t pid = ::fork();
     if (pid < 0) throw std::runtime_error("cannot start " + name);
@@ -188,10 +188,10 @@
     return pid;
   }
 
-  // Killed outright, and so no fault.
-  void end(pid_t& pid) {
+  // Kills a process on purpose; its exit is not reported as a failure.
+  void kill_process(pid_t& pid) {
     if (pid > 0 && children_.contains(pid)) {
-      meant_.push_back(pid);
+      killed_on_purpose_.push_back(pid);
       ::kill(pid, SIGKILL);
     }
     pid = 0;
@@ -204,31 +204,33 @@
       const std::string name = children_[pid];
       children_.erase(pid);
       const bool clean = WIFEXITED(status) && WEXITSTATUS(status) == 0;
-      if (!clean && std::find(meant_.begin(), meant_.end(), pid) == meant_.end()) {
-        result_.faults.push_back(name + (WIFEXITED(status)
-                                             ? " ended with " + std::to_string(WEXITSTATUS(status))
-                                             : " died of signal " + std::to_string(WTERMSIG(status))));
+      if (!clean &&
+          std::find(killed_on_purpose_.begin(), killed_on_purpose_.end(), pid) == killed_on_purpose_.end()) {
+        result_.failures.push_back(name + (WIFEXITED(status)
+                                               ? " ended with " + std::to_string(WEXITSTATUS(status))
+                                               : " died of signal " + std::to_string(WTERMSIG(status))));
       }
-      if (pid == load_) wind_up();
-      if (winding_up_ && std::none_of(scheduler_.begin(), scheduler_.end(),
-                                      [&](auto& s) { return s.second > 0 && children_.contains(s.second); }))
+      if (pid == load_pid_) stop_schedulers();
+      if (stopping_schedulers_ && std::none_of(scheduler_pids_.begin(), scheduler_pids_.end(), [&](auto& s) {
+            return s.second > 0 && children_.contains(s.second);
+          }))
         loop_.stop();
     }
   }
 
-  // The clients are done: schedulers drain and must end by themselves.
-  void wind_up() {
-    winding_up_ = true;
-    for (auto& [s, pid] : scheduler_) {
+  // The load has ended: schedulers must drain and exit by themselves.
+  void stop_schedulers() {
+    stopping_schedulers_ = true;
+    for (auto& [s, pid] : scheduler_pids_) {
       if (pid > 0 && children_.contains(pid)) ::kill(pid, SIGTERM);
     }
-    loop_.run_at(loop_.now() + kDrainTime, [this] {
-      result_.faults.push_back("a scheduler did not end after SIGTERM");
+    loop_.run_at(loop_.now() + kSchedulerExitTimeout, [this] {
+      result_.failures.push_back("a scheduler did not end after SIGTERM");
       loop_.stop();
     });
   }
 
-  const Day& day_;
+  const Scenario& scenario_;
   const RunOptions& options_;
   MonotonicClock clock_;
   Loop loop_;
@@ -237,49 +239,52 @@
   double start_ = 0;
   std::unique_ptr<Recorder> record_;
   std::map<pid_t, std::string> children_;
-  std::vector<pid_t> meant_;
-  std::map<int, pid_t> node_;
-  std::map<int, pid_t> scheduler_;
-  pid_t load_ = 0;
-  bool winding_up_ = false;
+  std::vector<pid_t> killed_on_purpose_;
+  std::map<int, pid_t> node_pids_;
+  std::map<int, pid_t> scheduler_pids_;
+  pid_t load_pid_ = 0;
+  bool stopping_schedulers_ = false;
   RunResult result_;
 };
 
 }  // namespace
 
-Figures figures_of(const Day& day, double start) {
-  Figures f;
-  f.start = start;
-  const Settings& s = day.settings;
+CheckerParameters checker_parameters(const Scenario& scenario, double start) {
+  CheckerParameters parameters;
+  parameters.start = start;
+  const Settings& s = scenario.settings;
   for (std::size_t i = 0; i < s.profiles.size(); ++i) {
     const Profile& p = s.profiles[i];
-    f.profiles.push_back({day.profile_names[i], p.target_latency, p.deadline, p.benefit, day.late_parts[i],
-                          static_cast<int>(p.idempotency), static_cast<int>(p.dedup_scope), p.dedup_window,
-                          p.ordered_by_key});
+    parameters.profiles.push_back({scenario.profile_names[i], p.target_latency, p.deadline, p.benefit,
+                                   scenario.late_benefit_fractions[i], static_cast<int>(p.idempotency),
+                                   static_cast<int>(p.dedup_scope), p.dedup_window, p.ordered_by_key});
   }
   for (std::size_t i = 0; i < s.plans.size(); ++i) {
     const Plan& p = s.plans[i];
-    f.plans.push_back({day.plan_names[i], p.usual_rate, p.reservation, p.limit, p.burst, p.benefit_factor});
+    parameters.plans.push_back(
+        {scenario.plan_names[i], p.usual_rate, p.reservation, p.limit, p.burst, p.benefit_factor});
   }
-  f.zones = day.zones;
-  f.key_blocks = static_cast<int>(day.key_blocks);
-  f.answer_slack = day.answer_slack;
-  f.drain_grace = day.drain_grace;
-  f.largest_units = s.max_transaction_units;
-  f.mean_units = s.mean_transaction_units;
-  f.share_part = s.share_benefit_factor;
-  f.turn_gap = s.key_quiet_time;
-  f.has_budget = s.has_retry_budget;
-  f.budget_free = s.retry_budget_base;
-  f.budget_share = s.retry_budget_ratio;
-  f.budget_window = s.retry_budget_window;
-  f.has_cold = s.has_slow_start;
-  f.fall_time = s.overload_window;
-  f.tip_multiple = s.overload_multiple;
-  f.safe_cost = s.safe_start_units * day.unit_time * 1.3;
-  return f;
+  parameters.zones = scenario.zones;
+  parameters.key_blocks = static_cast<int>(scenario.key_blocks);
+  parameters.answer_slack = scenario.answer_slack;
+  parameters.drain_grace = scenario.drain_grace;
+  parameters.max_transaction_units = s.max_transaction_units;
+  parameters.mean_transaction_units = s.mean_transaction_units;
+  parameters.share_benefit_factor = s.share_benefit_factor;
+  parameters.key_quiet_time = s.key_quiet_time;
+  parameters.has_retry_budget = s.has_retry_budget;
+  parameters.retry_budget_base = s.retry_budget_base;
+  parameters.retry_budget_ratio = s.retry_budget_ratio;
+  parameters.retry_budget_window = s.retry_budget_window;
+  parameters.has_slow_start = s.has_slow_start;
+  parameters.overload_window = s.overload_window;
+  parameters.overload_multiple = s.overload_multiple;
+  parameters.safe_start_cost = s.safe_start_units * scenario.unit_time * 1.3;
+  return parameters;
 }
 
-RunResult run_day(const Day& day, const RunOptions& options) { return Run(day, options).play(); }
+RunResult run_scenario(const Scenario& scenario, const RunOptions& options) {
+  return ScenarioRunner(scenario, options).run();
+}
 
 }  // namespace heronworks::lab
--- a/src/lab/runner.h
+++ b/src/lab/runner.h
@@ -1,5 +1,5 @@
-// Plays a day on sockets: starts every stand-in and scheduler as a process of its own, plays the script, ends
-// them, and has the record judged.
+// Runs a scenario on sockets: starts each stand-in and scheduler as a process, injects the faults, stops
+// the processes and checks the record.
 #pragma once
 
 #include "lab/bills.h"
@@ -10,23 +10,25 @@
 
 struct RunOptions {
   std::string self;             // path of heronworks-lab
-  std::string scheduler;        // path of the program that serves
-  std::string folder;           // empty: a new one that is removed at the end
-  bool quiet = false;           // no line a second
-  bool withhold_rules = false;  // from the schedulers, to see that the checker finds it out
-  double lead = 1.5;            // s from the start of the processes to the start of the day
+  std::string scheduler;        // path of the scheduler program
+  std::string folder;           // empty: a temporary folder, removed at the end
+  bool quiet = false;           // no progress lines
+  bool withhold_rules = false;  // from the schedulers, to test that the checker notices
+  double startup_time = 1.5;    // s from starting the processes to the start of the scenario
 };
 
 struct RunResult {
   Verdict verdict;
-  std::optional<Bills> bills;  // where the day has ledgers
+  std::optional<BillingCheck> billing;  // set if the scenario has ledgers
   double start = 0;
-  std::vector<std::string> faults;  // processes that ended as they should not
-  bool good() const { return verdict.kept() && faults.empty() && (!bills || bills->faults.empty()); }
+  std::vector<std::string> failures;  // unexpected process exits
+  bool passed() const {
+    return verdict.passed() && failures.empty() && (!billing || billing->errors.empty());
+  }
 };
 
-RunResult run_day(const Day& day, const RunOptions& options);
+RunResult run_scenario(const Scenario& scenario, const RunOptions& options);
 
-Figures figures_of(const Day& day, double start);
+CheckerParameters checker_parameters(const Scenario& scenario, double start);
 
 }  // namespace heronworks::lab
--- a/src/lab/send_all.cpp
+++ b/src/lab/send_all.cpp
@@ -1,6 +1,6 @@
-// The module's place taken by a baseline: everything is sent at once, within an even part of each limit. With
-// HERONWORKS_CARELESS it breaks every rule that it can, so that the checker has something to find.
-// For the lab only; the product never links it.
+// A baseline scheduler that dispatches everything at once and keeps only the limits, divided evenly among
+// schedulers. With HERONWORKS_CARELESS it breaks the rules on purpose, to test the checker. Not linked into
+// the product.
 #include <algorithm>
 
 #include "control.h"
@@ -14,7 +14,7 @@
 constexpr bool kCareless = false;
 #endif
 
-constexpr double kAskAgain = 1.0;  // s between two calls for a list that could not be had
+constexpr double kListRetryInterval = 1.0;  // s
 
 std::size_t at(int index) { return static_cast<std::size_t>(index); }
 
@@ -36,7 +36,7 @@
 
 void Control::update_nodes(double now, UpdateKind scope, const std::vector<NodeEntry>& entries) {
   if (scope == UpdateKind::kFailed) {
-    next_list_request_at_ = now + kAskAgain;
+    next_list_request_at_ = now + kListRetryInterval;
     return actions_.wake_at(next_list_request_at_);
   }
   if (scope != UpdateKind::kDelta && !kCareless) {
--- a/src/lab/verdict.h
+++ b/src/lab/verdict.h
@@ -1,5 +1,5 @@
-// Judges a record: the seven rules of the brief, the bytes, and the service. It shares no code with the
-// gateway and knows nothing of it; all that it needs is in the record.
+// Checks an event record: the scheduling rules, data integrity and service levels. Shares no code with the
+// gateway; everything it needs is in the record.
 #pragma once
 
 #include <array>
@@ -10,42 +10,42 @@
 
 namespace heronworks::lab {
 
-enum class Rule { kAnswers, kEffects, kDrains, kCold, kOrder, kBudget, kLimits, kBytes };
+enum class Rule { kOneAnswer, kNoDuplicateEffect, kDrains, kSlowStart, kOrder, kRetryBudget, kLimits, kData };
 inline constexpr std::array kRuleNames = {"one answer in time", "no effect twice", "drains kept",
                                           "cold nodes",         "order kept",      "budget kept",
                                           "limits kept",        "bytes as written"};
 
-struct Breach {
-  Rule rule = Rule::kAnswers;
-  std::uint64_t label = 0;
+struct Violation {
+  Rule rule = Rule::kOneAnswer;
+  std::uint64_t idempotency_key = 0;
   int attempt = -1;
-  int via = -1;
+  int scheduler = -1;
   int node = -1;
   int volume = -1;
-  double t = 0;
+  double time = 0;
   std::string text;
 };
 
-// The figures that the rules need: what a record's `figures` line holds.
-struct Figures {
+// Parameters of the rules, from the `figures` event of the record.
+struct CheckerParameters {
   struct Profile {
     std::string name;
-    double contract = 0;
-    double cut_off = 0;
+    double target_latency = 0;
+    double deadline = 0;
     double benefit = 1;
-    double late_part = 0;
-    int repeat = 0;  // 0 redoable, 1 labelled, 2 irreversible
-    int group = 2;   // 0 all, 1 zone, 2 cell
-    double label_window = 0;
-    bool in_order = false;
+    double late_benefit_fraction = 0;
+    int idempotency = 0;  // 0 idempotent, 1 deduplicated, 2 non-idempotent
+    int dedup_scope = 2;  // 0 all nodes, 1 zone, 2 shard
+    double dedup_window = 0;
+    bool ordered_by_key = false;
   };
   struct Plan {
     std::string name;
-    double usual = 0;
+    double usual_rate = 0;
     double reservation = 0;
     double limit = 0;
     double burst = 0;
-    double factor = 1;
+    double benefit_factor = 1;
   };
   std::vector<Profile> profiles;
   std::vector<Plan> plans;
@@ -54,58 +54,59 @@
   int key_blocks = 1;
   double answer_slack = 0.05;
   double drain_grace = 0.25;
-  double largest_units = 1;
-  double mean_units = 1;
-  double share_part = 1;
-  double turn_gap = 0;
-  bool has_budget = false;
-  double budget_free = 0;
-  double budget_share = 0;
-  double budget_window = 1;
-  bool has_cold = false;
-  double fall_time = 0;
-  double tip_multiple = 0;
-  double safe_cost = 0;  // s of one core that never push a node over
+  double max_transaction_units = 1;
+  double mean_transaction_units = 1;
+  double share_benefit_factor = 1;
+  double key_quiet_time = 0;
+  bool has_retry_budget = false;
+  double retry_budget_base = 0;
+  double retry_budget_ratio = 0;
+  double retry_budget_window = 1;
+  bool has_slow_start = false;
+  double overload_window = 0;
+  double overload_multiple = 0;
+  double safe_start_cost = 0;  // core-seconds that never overload a node
 
   std::string text() const;
-  static Figures parse(const std::string& text);  // throws nlohmann::json::exception
+  static CheckerParameters parse(const std::string& text);  // throws nlohmann::json::exception
 };
 
 struct Verdict {
-  struct Service {
+  struct ServiceSummary {
     std::string name;
     int transactions = 0;
-    int honoured = 0;
+    int succeeded = 0;
     int in_time = 0;
-    int turned_back = 0;
-    int given_up = 0;
-    double due = 0;
-    double earned = 0;
-    double part() const { return due > 0 ? earned / due : 1; }
+    int rejected = 0;
+    int expired = 0;
+    double benefit_due = 0;
+    double benefit_earned = 0;
+    double benefit_ratio() const { return benefit_due > 0 ? benefit_earned / benefit_due : 1; }
   };
-  std::vector<Breach> breaches;
-  std::array<int, kRuleNames.size()> looked_at{};  // how many things each rule was put to
-  std::vector<Service> profiles;
-  std::vector<Service> plans;
-  Service all;
+  std::vector<Violation> violations;
+  std::array<int, kRuleNames.size()> checks{};  // number of checks made for each rule
+  std::vector<ServiceSummary> profiles;
+  std::vector<ServiceSummary> plans;
+  ServiceSummary total;
   int dispatches = 0;
-  // How often one thing was tried again, at each layer: mean and most.
-  struct Again {
+  // Mean and maximum of a count.
+  struct CountSummary {
     double mean = 0;
-    int most = 0;
+    int maximum = 0;
   };
-  Again tries;           // of a transaction, by its clients
-  Again of_a_try;        // dispatches that reached a node, of a try of which one did
-  Again of_transaction;  // the same, of a transaction
-  double late = 0;       // s by which the mark of an answer may be late, at most
-  double p50 = 0;        // s, of honoured transactions from their first try
+  CountSummary attempts_per_transaction;  // by clients
+  CountSummary dispatches_per_attempt;    // dispatches that reached a node, of attempts with at least one
+  CountSummary dispatches_per_transaction;
+  double max_read_delay = 0;  // s; longest delay with which a client may have read an answer
+  double p50 = 0;             // s; latency of successful transactions since their first attempt
   double p99 = 0;
 
-  bool kept() const { return breaches.empty(); }
+  bool passed() const { return violations.empty(); }
   std::string table(double start) const;
 };
 
-// `events` in order of time, with one `figures` line. Throws std::runtime_error without one.
-Verdict judge(const std::vector<Event>& events);
+// Checks `events`, which must be ordered by time. Throws std::runtime_error if they hold no `figures`
+// event.
+Verdict check_record(const std::vector<Event>& events);
 
 }  // namespace heronworks::lab
--- a/tests/lab/node_test.cpp
+++ b/tests/lab/node_test.cpp
@@ -1,4 +1,4 @@
-// A stand-in node by itself: what it takes for a repeat.
+// Deduplication of writes by a stand-in node.
 #include "lab/node.h"
 
 #include <doctest/doctest.h>
@@ -24,20 +24,20 @@
 
 }  // namespace
 
-TEST_CASE("two volumes may pick one label: each has its write; the same volume's second is a repeat") {
+TEST_CASE("a repeated idempotency key is deduplicated on the same volume and executed on another") {
   const std::string folder = "/tmp/heronworks-test-" + std::to_string(::getpid()) + "-node";
   std::filesystem::create_directories(folder);
   config::Problems problems;
-  const auto day = read_day(SHORT_DAY, 1, problems);
-  REQUIRE(day);
+  const auto scenario = read_scenario(SHORT_DAY, 1, problems);
+  REQUIRE(scenario);
   const MonotonicClock clock;
   Loop loop(clock);
   Recorder record(folder + "/record");
   NodeOptions o;
   o.listen = {"127.0.0.1", 0};
-  o.start = clock.now() + 3600;  // no trouble acts yet
+  o.start = clock.now() + 3600;  // before any fault is active
   o.folder = folder;
-  StandInNode node(loop, *day, o, record, [] {});
+  StandInNode node(loop, *scenario, o, record, [] {});
   Client client;
   nvme::HostOptions h;
   h.address = node.address();
@@ -49,15 +49,16 @@
     return done();
   };
   REQUIRE(until([&] { return client.up; }));
-  const auto quote = static_cast<int>(
-      std::find(day->profile_names.begin(), day->profile_names.end(), "quote") - day->profile_names.begin());
+  const auto quote =
+      static_cast<int>(std::find(scenario->profile_names.begin(), scenario->profile_names.end(), "quote") -
+                       scenario->profile_names.begin());
   const auto write = [&](std::uint64_t token, std::uint32_t volume) {
     nvme::Sqe c;
     c.opcode = nvme::opcode::kWrite;
     c.nsid = volume;
     c.set_blocks(1);
-    c.set_idempotency_key(label_of(7, quote));
-    host.submit(token, c, std::make_shared<const nvme::Bytes>(day->block_bytes, std::uint8_t(token)), 0);
+    c.set_idempotency_key(tagged_key(7, quote));
+    host.submit(token, c, std::make_shared<const nvme::Bytes>(scenario->block_bytes, std::uint8_t(token)), 0);
     REQUIRE(until([&] { return client.answers.contains(token); }));
     CHECK(client.answers[token].ok());
   };
@@ -66,7 +67,7 @@
   write(3, 1);
   std::vector<std::pair<int, std::string>> ran;
   for (const Event& e : read_records({folder + "/record"})) {
-    if (e.kind == Kind::kRan) ran.push_back({e.volume, e.outcome});
+    if (e.kind == EventKind::kExecuted) ran.push_back({e.volume, e.outcome});
   }
   CHECK(ran == std::vector<std::pair<int, std::string>>{{0, ""}, {1, ""}, {0, "repeat"}});
   std::filesystem::remove_all(folder);
