--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -115,6 +115,7 @@
   }
 
   static std::string format_microseconds(double seconds) {
+    // NOLINTNEXTLINE(bugprone-incorrect-roundings): times are not negative
     return std::to_string(static_cast<std::int64_t>(seconds / kSecondsPerMicrosecond + 0.5));
   }
 
--- a/src/expr/syntax.cpp
+++ b/src/expr/syntax.cpp
@@ -1,6 +1,7 @@
 #include "expr/syntax.h"
 
 #include <algorithm>
+#include <bit>
 #include <boost/asio/ip/address.hpp>
 #include <boost/asio/ip/network_v4.hpp>
 #include <boost/asio/ip/network_v6.hpp>
@@ -591,7 +592,8 @@
     case BaseType::kBool:
       return value.as_bool == other.value.as_bool;
     case BaseType::kDouble:
-      return std::memcmp(&value.as_double, &other.value.as_double, sizeof value.as_double) == 0;
+      return std::bit_cast<std::uint64_t>(value.as_double) ==
+             std::bit_cast<std::uint64_t>(other.value.as_double);
     case BaseType::kString:
     case BaseType::kBytes:
       return true;
--- a/src/store/log_writer.cpp
+++ b/src/store/log_writer.cpp
@@ -167,6 +167,7 @@
     } else if (!log_->read_only() && std::exchange(marker_failed, false)) {
       report([&] { reported_read_only_ = false; });
     }
+    const bool had_snapshot = snapshot.has_value();
     if (snapshot) {
       if (log_->durable_sequence() < snapshot->first) {  // retried once the records it covers are durable
         const std::lock_guard lock(mutex_);
@@ -177,7 +178,7 @@
         report([&] { reported_snapshot_finished_ = true; });
       }
     }
-    if (stopping && next_in_batch == batch.size() && !snapshot) {
+    if (stopping && next_in_batch == batch.size() && !had_snapshot) {
       const std::lock_guard lock(mutex_);
       if (queue_.empty()) return;
     }
