--- a/bench/ledger.cpp
+++ b/bench/ledger.cpp
@@ -29,31 +29,31 @@
   options.keep_all_segments = true;
   const auto log = store::Log::open(files, folder + "/entries", options, {}, state, error);
   if (!log) std::exit(1);
-  LedgerState book({3600, 60, 200000});
+  LedgerState ledger({3600, 60, 200000});
   std::vector<std::string> records;
-  book.open(1e9, first_identity + 1, 0, records);
+  ledger.open(1e9, first_identity + 1, 0, records);
   const double start = now_seconds();
   for (std::uint64_t i = 0; i < entry_count; ++i) {
-    UsageEntry use;
-    use.identity = first_identity + i;
-    use.tenant = "cooperative";
-    use.volume = static_cast<std::uint32_t>(1 + i % 300);
-    use.plan = "standard";
-    use.profile = "read";
-    use.units = static_cast<std::uint32_t>(1 + i % 8);
-    use.bytes = 4096 * use.units;
-    use.client = "nqn.2026-11.org.heronworks:client.7";
-    book.record_usage(1e9 + 0.0001 * static_cast<double>(i), use, records);
+    UsageEntry entry;
+    entry.identity = first_identity + i;
+    entry.tenant = "cooperative";
+    entry.volume = static_cast<std::uint32_t>(1 + i % 300);
+    entry.plan = "standard";
+    entry.profile = "read";
+    entry.units = static_cast<std::uint32_t>(1 + i % 8);
+    entry.bytes = 4096 * entry.units;
+    entry.client = "nqn.2026-11.org.heronworks:client.7";
+    ledger.record_usage(1e9 + 0.0001 * static_cast<double>(i), entry, records);
     for (const std::string& record : records) log->append(store::byte_view(record));
     records.clear();
     if (log->pending_count() >= 1000 && log->commit() != 0) std::exit(1);
   }
-  book.advance(1e9 + 0.0001 * static_cast<double>(entry_count) + 7200, records);
+  ledger.advance(1e9 + 0.0001 * static_cast<double>(entry_count) + 7200, records);
   for (const std::string& record : records) log->append(store::byte_view(record));
   if (log->commit() != 0) std::exit(1);
   log->write_durability_marker();
   const double elapsed = now_seconds() - start;
-  if (snapshot && log->write_snapshot(log->last_sequence(), store::byte_view(book.snapshot())) != 0)
+  if (snapshot && log->write_snapshot(log->last_sequence(), store::byte_view(ledger.snapshot())) != 0)
     std::exit(1);
   return elapsed;
 }
@@ -62,11 +62,12 @@
   const double start = now_seconds();
   store::ReplayResult state;
   store::FileError error;
-  LedgerState book({3600, 60, 200000});
+  LedgerState ledger({3600, 60, 200000});
   std::string replay_error;
   store::LogOptions options;
   options.keep_all_segments = true;
-  if (!store::Log::open(files, folder + "/entries", options, replay_into(book, replay_error), state, error) ||
+  if (!store::Log::open(files, folder + "/entries", options, replay_into(ledger, replay_error), state,
+                        error) ||
       !replay_error.empty())
     std::exit(1);
   return now_seconds() - start;
--- a/src/lab/billing_check.cpp
+++ b/src/lab/billing_check.cpp
@@ -95,26 +95,27 @@
   if (missing_entries > check.answered_early)
     add_error(std::to_string(missing_entries) + " successful transactions are missing from all ledgers");
   // Apply the proposed corrections. A second reconciliation may then report only the missing entries.
-  for (std::size_t l = 0; l < folders.size(); ++l) {
-    ledger::LedgerSummary facts;
-    ledger::Adjustments desk;
-    if (!ledger::read_ledger(files, folders[l], {}, facts, fault)) return add_error(fault.to_string()), check;
-    const auto log = ledger::open_adjustment_log(files, folders[l], desk, fault);
+  for (std::size_t i = 0; i < folders.size(); ++i) {
+    ledger::LedgerSummary summary;
+    ledger::Adjustments adjustments;
+    if (!ledger::read_ledger(files, folders[i], {}, summary, fault))
+      return add_error(fault.to_string()), check;
+    const auto log = ledger::open_adjustment_log(files, folders[i], adjustments, fault);
     if (!log) return add_error(fault.to_string()), check;
-    for (const auto& f : found) {
-      if (f.correction_units == 0 || f.ledger_id != facts.ledger_id) continue;
+    for (const auto& discrepancy : found) {
+      if (discrepancy.correction_units == 0 || discrepancy.ledger_id != summary.ledger_id) continue;
       ledger::wire::DeskRecord record;
-      auto& c = *record.mutable_correction();
-      c.set_ledger(f.ledger_id);
-      c.set_entry(f.entry);
-      c.set_identity(f.identity);
-      c.set_tenant(f.tenant);
-      c.set_volume(f.volume);
-      c.set_period(f.period);
-      c.set_units(f.correction_units);
-      c.set_who("reconciliation");
-      c.set_why(ledger::discrepancy_name(f.kind));
-      if (ledger::append_adjustment(*log, desk, record) != 0) add_error("cannot write a correction");
+      auto& correction = *record.mutable_correction();
+      correction.set_ledger(discrepancy.ledger_id);
+      correction.set_entry(discrepancy.entry);
+      correction.set_identity(discrepancy.identity);
+      correction.set_tenant(discrepancy.tenant);
+      correction.set_volume(discrepancy.volume);
+      correction.set_period(discrepancy.period);
+      correction.set_units(discrepancy.correction_units);
+      correction.set_who("reconciliation");
+      correction.set_why(ledger::discrepancy_name(discrepancy.kind));
+      if (ledger::append_adjustment(*log, adjustments, record) != 0) add_error("cannot write a correction");
       ++check.corrections;
     }
   }
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -39,7 +39,8 @@
         options_(options),
         loop_(clock_),
         folder_(options.folder),
-        ports_(free_ports(static_cast<std::size_t>(scenario.nodes + scenario.schedulers + 1))) {
+        ports_(free_ports(static_cast<std::size_t>(scenario.nodes) +
+                          static_cast<std::size_t>(scenario.schedulers) + 1)) {
     if (folder_.empty()) {
       std::string pattern = (std::filesystem::temp_directory_path() / "heronworks-day-XXXXXX").string();
       if (!::mkdtemp(pattern.data())) throw std::runtime_error("cannot create a temporary folder");
@@ -135,8 +136,10 @@
   }
 
  private:
-  std::uint16_t node_port(int n) const { return ports_[static_cast<std::size_t>(n)]; }
-  std::uint16_t scheduler_port(int s) const { return ports_[static_cast<std::size_t>(scenario_.nodes + s)]; }
+  std::uint16_t node_port(int node) const { return ports_[static_cast<std::size_t>(node)]; }
+  std::uint16_t scheduler_port(int scheduler) const {
+    return ports_[static_cast<std::size_t>(scenario_.nodes) + static_cast<std::size_t>(scheduler)];
+  }
   std::uint16_t list_port() const { return ports_.back(); }
 
   void record_scheduler_event(EventKind kind, int scheduler) {
--- a/src/platform/client_server.cpp
+++ b/src/platform/client_server.cpp
@@ -9,7 +9,8 @@
 
 constexpr http::MessageLimits kRequestLimits{8192, LargeBodyBudget::kMaxBodyBytes, 64};
 // Room for one complete small request behind the open one. A client that pipelines more is disconnected.
-constexpr Stream::BufferLimits kStreamLimits{LargeBodyBudget::kSmallBodyBytes + 2 * 8192, 65536, true};
+constexpr Stream::BufferLimits kStreamLimits{LargeBodyBudget::kSmallBodyBytes + std::size_t{2} * 8192, 65536,
+                                             true};
 
 }  // namespace
 
