--- a/src/gateway/node_connection.h
+++ b/src/gateway/node_connection.h
@@ -44,8 +44,8 @@
 
   void send(Dispatch dispatch);
   void open();
-  // The node is draining or removed: ends queued dispatches as not sent. Those already written may still be
-  // answered.
+  // The node is draining or removed: ends queued dispatches as failed connects. Those already written may
+  // still be answered.
   void drain();
   // Closes the connection because the process that it led to no longer runs.
   void reset(const std::string& reason);
