--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -241,7 +241,8 @@
       const auto max_blocks = static_cast<std::uint32_t>(workload.max_units) * scenario_.unit_blocks;
       lba = object.lba;
       blocks = std::min(object.blocks, max_blocks);
-      t.units = static_cast<double>((blocks + scenario_.unit_blocks - 1) / scenario_.unit_blocks);
+      const std::uint32_t unit_count = (blocks + scenario_.unit_blocks - 1) / scenario_.unit_blocks;
+      t.units = unit_count;
     }
     t.sqe.nsid = static_cast<std::uint32_t>(volume + 1);
     t.sqe.set_blocks(blocks);
--- a/src/lab/node.cpp
+++ b/src/lab/node.cpp
@@ -145,7 +145,8 @@
   request.scheduler = scheduler_of_connection_[command.connection];
   request.write = command.sqe.opcode != nvme::opcode::kRead;
   const std::uint32_t blocks = command.sqe.blocks();
-  request.units = static_cast<double>((blocks + scenario_.unit_blocks - 1) / scenario_.unit_blocks);
+  const std::uint32_t unit_count = (blocks + scenario_.unit_blocks - 1) / scenario_.unit_blocks;
+  request.units = unit_count;
   request.command = std::move(command);
   const nvme::Sqe& sqe = request.command.sqe;
   const bool append = sqe.opcode == nvme::opcode::kZoneAppend;
