--- a/src/ledger/ledger_service.cpp
+++ b/src/ledger/ledger_service.cpp
@@ -76,9 +76,9 @@
   if (clock_->wall_clock_distrusted() != wall_clock_distrusted_) {
     wall_clock_distrusted_ = clock_->wall_clock_distrusted();
     if (wall_clock_distrusted_) {
-      state_.add_note(
-          now, "the wall clock jumped ahead by more than a period; it is ignored until the next restart",
-          records_);
+      state_.add_note(now,
+                      "the wall clock leapt by more than a period and is not believed until the next start",
+                      records_);
       owner_.on_ledger_event("ledger.clock_doubted", "");
     }
   }
--- a/src/platform/request_parser.cpp
+++ b/src/platform/request_parser.cpp
@@ -65,51 +65,49 @@
   };
   ParsedRequest parsed;
   const std::string* call_id = find_single_field("X-Call-Id");
-  if (call_id == nullptr || call_id->empty() || call_id->size() > 128)
-    return RequestError{400, "missing or invalid X-Call-Id"};
+  if (call_id == nullptr || call_id->empty() || call_id->size() > 128) return RequestError{400, "X-Call-Id"};
   parsed.call_id = *call_id;
   const bool is_write = request.method == "PUT";
-  if (!is_write && request.method != "GET") return RequestError{400, "method is neither GET nor PUT"};
-  if (!is_write && !request.body.empty()) return RequestError{400, "GET request has a body"};
+  if (!is_write && request.method != "GET") return RequestError{400, "method"};
+  if (!is_write && !request.body.empty()) return RequestError{400, "body of a read"};
   const std::string* profile = find_single_field("X-Call-Class");
   if (profile == nullptr ||
       !find_index(config.named_settings.profile_names, *profile, parsed.transaction.profile))
-    return RequestError{400, "missing or unknown X-Call-Class"};
+    return RequestError{400, "X-Call-Class"};
   const std::string* plan = find_single_field("Tier");
   if (plan == nullptr || !find_index(config.named_settings.plan_names, *plan, parsed.transaction.plan))
-    return RequestError{400, "missing or unknown Tier"};
+    return RequestError{400, "Tier"};
 
   // The last two segments of the path are the volume and the key; a query may follow.
   std::string_view path = request.target;
   path = path.substr(0, path.find('?'));
   const auto key_slash = path.rfind('/');
-  if (key_slash == std::string_view::npos || key_slash == 0)
-    return RequestError{400, "path does not end in /VOLUME/KEY"};
+  if (key_slash == std::string_view::npos || key_slash == 0) return RequestError{400, "path"};
   const auto volume_slash = path.rfind('/', key_slash - 1);
-  if (volume_slash == std::string_view::npos) return RequestError{400, "path does not end in /VOLUME/KEY"};
+  if (volume_slash == std::string_view::npos) return RequestError{400, "path"};
   if (!parse_hex16(path.substr(key_slash + 1), parsed.transaction.key))
-    return RequestError{400, "key in the path is not 16 hexadecimal digits"};
+    return RequestError{400, "piece of data"};
   if (!parse_hex16(path.substr(volume_slash + 1, key_slash - volume_slash - 1), parsed.volume))
-    return RequestError{400, "volume in the path is not 16 hexadecimal digits"};
+    return RequestError{400, "volume"};
   parsed.transaction.has_key = true;
 
   const std::string* budget = find_single_field("X-Budget-Ms");
   double budget_ms = 0;
   if (budget == nullptr || !read_number_into(std::string_view(*budget), budget_ms) || budget_ms <= 0) {
-    return RequestError{400, "missing or invalid X-Budget-Ms"};
+    return RequestError{400, "X-Budget-Ms"};
   }
   parsed.transaction.time_left = kSecondsPerMillisecond * budget_ms;
   const std::string* io_info = find_single_field("IO-Info");
   if (io_info == nullptr || !parse_io_info(*io_info, config, parsed.transaction))
-    return RequestError{400, "missing or invalid IO-Info"};
+    return RequestError{400, "IO-Info"};
 
   const Profile& profile_settings =
       config.settings().profiles[static_cast<std::size_t>(parsed.transaction.profile)];
   const std::string* idempotency_key = request.find_field("Idempotency-Key");
-  if (request.count_fields("Idempotency-Key") > 1) return RequestError{400, "more than one Idempotency-Key"};
+  if (request.count_fields("Idempotency-Key") > 1) return RequestError{400, "Idempotency-Key"};
   if (profile_settings.idempotency == Idempotency::kDeduplicated &&
       (idempotency_key == nullptr || idempotency_key->empty()))
-    return RequestError{400, "missing Idempotency-Key"};
+    return RequestError{400, "Idempotency-Key"};
   return parsed;
 }
 
--- a/src/platform/request_parser.h
+++ b/src/platform/request_parser.h
@@ -15,8 +15,8 @@
 };
 
 struct RequestError {
-  int status = 0;
-  std::string reason;
+  int status = 0;      // of the HTTP response
+  std::string reason;  // the field at fault; sent as the response's body
 };
 
 std::variant<ParsedRequest, RequestError> parse_request(const http::Message& request, const Config& config);
--- a/src/platform/scheduler.cpp
+++ b/src/platform/scheduler.cpp
@@ -150,7 +150,7 @@
     return reply_error(error->status, error->reason);
   }
   ParsedRequest& parsed = std::get<ParsedRequest>(result);
-  if (by_call_id_.contains(parsed.call_id)) return reply_error(409, "X-Call-Id is in use by an open request");
+  if (by_call_id_.contains(parsed.call_id)) return reply_error(409, "X-Call-Id is open");
   const VolumeName volume{parsed.volume, parsed.transaction.plan};
   const auto assignment = volumes_.acquire(now(), volume);
   if (!assignment) {
